--- a/packages/wasabideck_agent/wasabideck_agent/bitmaps.py
+++ b/packages/wasabideck_agent/wasabideck_agent/bitmaps.py
@@ -1,4 +1,4 @@
-"""Sets of chunk indices as bitmaps, for the inner protocol."""
+"""Conversion of sets of chunk indices to bitmaps of the inner protocol."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def to_bitmap(mask: int) -> bytes:
-    """Bytes of a set of indices, an integer in which bit i stands for index i."""
+    """Return the bytes of a set of indices, in which bit i stands for index i."""
     return mask.to_bytes((mask.bit_length() + 7) // 8, "little")
 
 
 def from_bitmap(bitmap: bytes) -> int:
-    """The set of indices whose bits are set."""
+    """Return the set of indices whose bits are set, as an integer."""
     return int.from_bytes(bitmap, "little")
--- a/packages/wasabideck_agent/wasabideck_agent/chunk_store.py
+++ b/packages/wasabideck_agent/wasabideck_agent/chunk_store.py
@@ -1,4 +1,4 @@
-"""Verified chunks held in memory, and which manifests they make whole."""
+"""Stores verified chunks in memory, and tracks which manifests are complete."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @define
 class ChunkStore:
-    """Chunks by digest; only verified bytes ever enter.
+    """Chunks by digest; only verified bytes are stored.
 
-    A manifest's held chunks are an integer in which bit i stands for chunk i. It is
-    kept up to date as chunks come, since peers ask for it many times a second.
+    The stored chunks of a manifest are an integer in which bit i stands for chunk i. It
+    is updated as chunks arrive, since peers request it many times a second.
     """
 
     _chunks: dict[str, bytes] = field(factory=dict)
@@ -21,18 +21,18 @@
     _held: dict[str, int] = field(factory=dict)
 
     def manifest(self, digest: str) -> Manifest | None:
-        """A known manifest, or None."""
+        """Return a known manifest, or None."""
         return self._manifests.get(digest)
 
     def know(self, manifest: Manifest) -> None:
-        """Remember a manifest; chunks of others that it shares count at once."""
+        """Add a manifest; stored chunks that it shares with others count at once."""
         digest = manifest.digest
         if digest not in self._manifests:
             self._manifests[digest] = manifest
-            self._held[digest] = self._count(manifest)
+            self._held[digest] = self._held_mask(manifest)
 
     def add(self, digest: str, data: bytes, source: str) -> None:
-        """Keep a chunk; raises ``CorruptChunk`` unless its bytes have the digest."""
+        """Store a chunk; raise ``CorruptChunk`` unless its bytes have the digest."""
         verify_chunk(data, digest, source)
         if digest in self._chunks:
             return
@@ -42,24 +42,24 @@
                 self._held[name] |= 1 << index
 
     def get(self, digest: str) -> bytes | None:
-        """A chunk's bytes, or None."""
+        """Return a chunk's bytes, or None."""
         return self._chunks.get(digest)
 
     def held(self, manifest: Manifest) -> int:
-        """The manifest's chunks that are here."""
-        return self._held.get(manifest.digest) or self._count(manifest)
+        """Return the bit mask of the manifest's chunks that are stored."""
+        return self._held.get(manifest.digest) or self._held_mask(manifest)
 
     def whole(self, manifest: Manifest) -> bool:
-        """Whether every chunk of the manifest is here."""
+        """Whether every chunk of the manifest is stored."""
         return self.held(manifest).bit_count() == len(manifest.chunks)
 
     def keep_only(self, digests: set[str]) -> None:
-        """Drop every manifest but these, and chunks that none of them names."""
+        """Drop all other manifests, and chunks that none of the remaining ones list."""
         self._manifests = {d: m for d, m in self._manifests.items() if d in digests}
         self._held = {d: mask for d, mask in self._held.items() if d in digests}
         named = {chunk for m in self._manifests.values() for chunk in m.chunks}
         self._chunks = {d: data for d, data in self._chunks.items() if d in named}
 
-    def _count(self, manifest: Manifest) -> int:
+    def _held_mask(self, manifest: Manifest) -> int:
         held = (i for i, d in enumerate(manifest.chunks) if d in self._chunks)
         return sum(1 << i for i in held)
--- a/packages/wasabideck_agent/wasabideck_agent/chunks_service.py
+++ b/packages/wasabideck_agent/wasabideck_agent/chunks_service.py
@@ -1,4 +1,4 @@
-"""Gives chunks to other agents."""
+"""Serves chunks to other agents."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 __all__ = ["ChunksService"]
 
 PART_BYTES = 256 * 1024
-# A VM sends about as much as it receives; those who find nobody else go beyond.
-SHARE = 1.05
-# An upload whose asker has not come for its next part for so long is given up, as the
-# asker is gone or has the chunk from elsewhere (seconds).
-ABANDONED_SECONDS = 1.0
+# Maximum chunks that a VM sends, relative to the chunks of the manifest: about as many
+# as it receives. Peers that find no other sender may exceed it.
+MAX_SENT_RATIO = 1.05
+# Timeout after which an upload is abandoned if its receiver has not requested the next
+# part: the receiver is lost or got the chunk elsewhere.
+UPLOAD_TIMEOUT_SECONDS = 1.0
 
-Listener = Callable[[str, int], None]
+HoldingsListener = Callable[[str, int], None]
 
 
 @define
@@ -34,46 +35,46 @@
 
     manifest: str
     data: bytes
-    asked_at: float
+    requested_at: float
 
 
 @define
 class ChunksService(ChunksBase):
-    """Answers what is held here, and uploads it, a few chunks at a time.
+    """Reports which chunks are stored here, and uploads a few of them at a time.
 
     Attributes
     ----------
     reading : dict of str to int
-        Chunks of each manifest that are being fetched from outside the region.
+        Bit mask of the chunks being fetched from outside the region, by manifest.
     sent : Counter
-        Chunks sent of each manifest.
+        Number of chunks sent, by manifest.
     listeners : dict of str to callable
-        Whoever wants to hear of each manifest what askers hold.
-    numbered : callable
-        The manifest that is given to who asks for a numbered version by its name.
+        Callbacks that receive the holdings of requesting peers, by manifest.
+    manifest_by_name : callable
+        Returns the manifest of a numbered version, given the version's name.
     """
 
     store: ChunkStore
     links: Links
-    most_uploads: int
+    max_uploads: int
     reading: Counter = field(factory=Counter)
     sent: Counter = field(factory=Counter)
-    listeners: dict[str, Listener] = field(factory=dict)
-    numbered: Callable[[str], Manifest | None] = lambda name: None
+    listeners: dict[str, HoldingsListener] = field(factory=dict)
+    manifest_by_name: Callable[[str], Manifest | None] = lambda name: None
     uploads: int = 0
     clock: Callable[[], float] = time.monotonic
-    _begun: dict[tuple[str, int], _Upload] = field(factory=dict)
+    _open_uploads: dict[tuple[str, int], _Upload] = field(factory=dict)
 
     async def Holdings(
         self, stream: Stream[pb.HoldingsRequest, pb.HoldingsReply]
     ) -> None:
-        """Which chunks of a manifest are here, and which are being read."""
+        """Handle a poll for the chunks of a manifest that are stored or being read."""
         await stream.send_message(self.holdings(await stream.recv_message()))
 
     def holdings(self, req: pb.HoldingsRequest) -> pb.HoldingsReply:
-        """Which chunks of a manifest are here, and the manifest if it is wanted."""
-        self._hear(req)
-        known = self.store.manifest(req.manifest) or self.numbered(req.manifest)
+        """Return which chunks of a manifest are stored, and the manifest if wanted."""
+        self._notify_listener(req)
+        known = self.store.manifest(req.manifest) or self.manifest_by_name(req.manifest)
         digest = known.digest if known else req.manifest
         reply = pb.HoldingsReply(
             bitmap=self._bitmap(digest),
@@ -86,11 +87,11 @@
         return reply
 
     async def Fetch(self, stream: Stream[pb.FetchRequest, pb.FetchPart]) -> None:
-        """Send one chunk in parts, or refuse at once."""
+        """Send one chunk in parts, or refuse immediately."""
         req = await stream.recv_message()
-        self._hear(req)
+        self._notify_listener(req)
         data = self._chunk(req)
-        if data is None or self._declines(req):
+        if data is None or self._refuses(req):
             await stream.send_message(self._refusal(req))
             return
         self.uploads += 1
@@ -101,45 +102,45 @@
             self.uploads -= 1
 
     def first_part(self, req: pb.FetchRequest, size: int) -> pb.FetchPart:
-        """The first part of a chunk, or a refusal; ``next_part`` gives the others.
+        """Return the first part of a chunk, or a refusal.
 
-        An upload takes a place from its first part to its last one, or until its asker
-        has not come back for a while.
+        ``next_part`` returns the other parts. An upload occupies a slot from its first
+        part to its last one, or until its receiver has not continued for a while.
         """
-        self._give_up_uploads(self.clock())
-        self._hear(req)
-        asked = req.vm, req.index
-        if asked in self._begun:
-            # Asked for anew: its former answer is lost.
-            self._end_upload(asked)
+        self._abandon_uploads(self.clock())
+        self._notify_listener(req)
+        key = req.vm, req.index
+        if key in self._open_uploads:
+            # The chunk is requested again: the earlier response was lost.
+            self._end_upload(key)
         data = self._chunk(req)
-        if not data or self._declines(req):
+        if not data or self._refuses(req):
             return self._refusal(req)
         self.uploads += 1
         self.sent[req.manifest] += 1
-        self._begun[asked] = _Upload(req.manifest, data, self.clock())
-        return self.next_part(*asked, 0, size)
+        self._open_uploads[key] = _Upload(req.manifest, data, self.clock())
+        return self.next_part(*key, 0, size)
 
-    def next_part(self, vm: str, index: int, begin: int, size: int) -> pb.FetchPart:
-        """A later part of a chunk; refused if its upload was given up."""
-        upload = self._begun.get((vm, index))
-        if upload is None or not 0 <= begin < len(upload.data):
+    def next_part(self, vm: str, index: int, offset: int, size: int) -> pb.FetchPart:
+        """Return a later part of a chunk, or a refusal if its upload was abandoned."""
+        upload = self._open_uploads.get((vm, index))
+        if upload is None or not 0 <= offset < len(upload.data):
             return pb.FetchPart(refused=True)
-        upload.asked_at = self.clock()
-        part = pb.FetchPart(data=upload.data[begin : begin + size])
-        if begin + size >= len(upload.data):
+        upload.requested_at = self.clock()
+        part = pb.FetchPart(data=upload.data[offset : offset + size])
+        if offset + size >= len(upload.data):
             self._end_upload((vm, index))
             part.holdings = self._bitmap(upload.manifest)
             part.sent = self.sent[upload.manifest]
         return part
 
-    def _give_up_uploads(self, now: float) -> None:
-        for asked, upload in list(self._begun.items()):
-            if now - upload.asked_at > ABANDONED_SECONDS:
-                self._end_upload(asked)
+    def _abandon_uploads(self, now: float) -> None:
+        for key, upload in list(self._open_uploads.items()):
+            if now - upload.requested_at > UPLOAD_TIMEOUT_SECONDS:
+                self._end_upload(key)
 
-    def _end_upload(self, asked: tuple[str, int]) -> None:
-        del self._begun[asked]
+    def _end_upload(self, key: tuple[str, int]) -> None:
+        del self._open_uploads[key]
         self.uploads -= 1
 
     def _refusal(self, req: pb.FetchRequest) -> pb.FetchPart:
@@ -150,21 +151,21 @@
         )
 
     async def _send(self, stream: Stream, manifest: str, data: bytes) -> None:
-        for begin in range(0, len(data), PART_BYTES):
-            part = pb.FetchPart(data=data[begin : begin + PART_BYTES])
+        for offset in range(0, len(data), PART_BYTES):
+            part = pb.FetchPart(data=data[offset : offset + PART_BYTES])
             await self.links.up.send(len(part.data))
-            if begin + PART_BYTES >= len(data):
+            if offset + PART_BYTES >= len(data):
                 part.holdings = self._bitmap(manifest)
                 part.sent = self.sent[manifest]
             await stream.send_message(part)
 
-    def _declines(self, req: pb.FetchRequest) -> bool:
-        if self.uploads >= self.most_uploads:
+    def _refuses(self, req: pb.FetchRequest) -> bool:
+        if self.uploads >= self.max_uploads:
             return True
-        share = SHARE * len(self.store.manifest(req.manifest).chunks)
-        return not req.urgent and self.sent[req.manifest] >= share
+        max_sent = MAX_SENT_RATIO * len(self.store.manifest(req.manifest).chunks)
+        return not req.urgent and self.sent[req.manifest] >= max_sent
 
-    def _hear(self, req: pb.HoldingsRequest | pb.FetchRequest) -> None:
+    def _notify_listener(self, req: pb.HoldingsRequest | pb.FetchRequest) -> None:
         if listener := self.listeners.get(req.manifest):
             listener(req.vm, from_bitmap(req.have))
 
--- a/packages/wasabideck_agent/wasabideck_agent/deliveries_log.py
+++ b/packages/wasabideck_agent/wasabideck_agent/deliveries_log.py
@@ -1,4 +1,4 @@
-"""Writes who got which weights, when and from where, however long the store is away."""
+"""Writes which VM got which weights, when and from where, across store outages."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 __all__ = ["DELIVERIES", "DeliveriesLog", "MalformedDelivery", "delivery_of"]
 
 DELIVERIES = "wasabideck-deliveries"
-# Version of a row that is not there.
+# Version of a row that does not exist.
 ABSENT = 0
 
 
 class MalformedDelivery(WasabideckError):
-    """A delivery row cannot be read; names the row, field and value."""
+    """A delivery row cannot be read; the message has its row, field and value."""
 
     status = 400
 
@@ -28,7 +28,7 @@
 
 
 def delivery_of(row: Row) -> Delivery:
-    """The delivery that a row tells of; raises ``MalformedDelivery``."""
+    """Return the delivery of a row; raise ``MalformedDelivery`` if it is malformed."""
     try:
         data = orjson.loads(row.value)
         known = {f.name: data[f.name] for f in fields(Delivery)}
@@ -52,50 +52,50 @@
 
 @define
 class DeliveriesLog:
-    """Delivery rows that wait in memory until the store has them."""
+    """Delivery rows that are kept in memory until the store has them."""
 
     store: RowStore
-    _waiting: dict[str, RowWrite] = field(factory=dict)
-    _found: dict[str, RowWrite] = field(factory=dict)
+    _queued: dict[str, RowWrite] = field(factory=dict)
+    _queued_if_absent: dict[str, RowWrite] = field(factory=dict)
 
     def add(self, delivery: Delivery) -> None:
-        """Have the row of a delivery that was made here written."""
-        write = _write_of(delivery)
-        self._waiting[write.key] = write
+        """Queue the row of a delivery that this agent carried out."""
+        write = _row_write(delivery)
+        self._queued[write.key] = write
 
-    def add_found(self, delivery: Delivery) -> None:
-        """Have the row of weights that were found in force written, if it lacks.
+    def add_if_absent(self, delivery: Delivery) -> None:
+        """Queue the row of weights that were found in effect, if the store lacks it.
 
-        An agent that starts again finds its engine served and knows no more of how it
-        came to be: written over the row of the delivery, its own would leave a report
-        without when and from where.
+        An agent that restarts finds its engine serving, and doesn't know how its
+        weights arrived. A row of its own that replaced the row of the delivery would
+        lose the time and the sources in the report.
         """
-        write = _write_of(delivery)
-        if write.key not in self._waiting:
-            self._found[write.key] = write
+        write = _row_write(delivery)
+        if write.key not in self._queued:
+            self._queued_if_absent[write.key] = write
 
     async def write(self) -> None:
-        """Write what waits; raises what the store's failure is."""
-        await self._write_waiting()
-        for write in list(self._found.values()):
+        """Write the queued rows; raise the store's error if that fails."""
+        await self._write_queued()
+        for write in list(self._queued_if_absent.values()):
             absent = Row(write.table, write.key, b"", ABSENT)
             try:
                 await self.store.write([write], [absent])
             except WriteConflict:
-                # There is a row, from before or from a write whose answer was lost.
+                # The row exists, from an earlier write or one whose reply was lost.
                 pass
-            self._found.pop(write.key, None)
+            self._queued_if_absent.pop(write.key, None)
 
-    async def _write_waiting(self) -> None:
-        writes = list(self._waiting.values())
+    async def _write_queued(self) -> None:
+        writes = list(self._queued.values())
         if not writes:
             return
-        # The same row written twice says the same: a lost answer does no harm.
+        # Writing a row twice has the same result, so a lost reply does no harm.
         await self.store.write(writes)
         for write in writes:
-            if self._waiting.get(write.key) is write:
-                del self._waiting[write.key]
+            if self._queued.get(write.key) is write:
+                del self._queued[write.key]
 
 
-def _write_of(delivery: Delivery) -> RowWrite:
+def _row_write(delivery: Delivery) -> RowWrite:
     return RowWrite(DELIVERIES, row_key(delivery), orjson.dumps(asdict(delivery)))
--- a/packages/wasabideck_agent/wasabideck_agent/delivery_book.py
+++ b/packages/wasabideck_agent/wasabideck_agent/delivery_book.py
@@ -1,4 +1,4 @@
-"""What an agent knows of the deliveries to its engine, until it has reported them."""
+"""Tracks the deliveries of weights to an agent's engine until they are reported."""
 
 from __future__ import annotations
 
@@ -15,55 +15,61 @@
 
 @define
 class DeliveryBook:
-    """Notes when weights began to come and from where, and reports them in force.
+    """Records when and from where weights arrived, and reports when they take effect.
 
     Attributes
     ----------
     vm, service : str
-        To which VM weights are delivered, and whose server's they are.
+        The VM that weights are delivered to, and the service of its server.
     """
 
     vm: str
     service: str
     log: DeliveriesLog
     events: Events
-    _begun: dict[int, float] = field(factory=dict)
+    _started: dict[int, float] = field(factory=dict)
     _verified: dict[int, float] = field(factory=dict)
     _sources: dict[int, dict[str, int]] = field(factory=dict)
     _reported: set[tuple[int, int]] = field(factory=set)
 
-    def begin(self, version: int, wall: float) -> bool:
-        """Note that a version is fetched from a wall time on; whether it is new."""
-        new = version not in self._begun
-        self._begun.setdefault(version, wall)
+    def record_start(self, version: int, wall_time: float) -> bool:
+        """Record the wall time at which a version's transfer started.
+
+        Returns
+        -------
+        new : bool
+            Whether this is the version's first transfer.
+        """
+        new = version not in self._started
+        self._started.setdefault(version, wall_time)
         return new
 
-    def verify(self, version: int, wall: float) -> None:
-        """Note when all chunks of a version were held and verified."""
-        self._verified.setdefault(version, wall)
+    def record_verified(self, version: int, wall_time: float) -> None:
+        """Record when all chunks of a version were stored and verified."""
+        self._verified.setdefault(version, wall_time)
 
-    def count(self, version: int, sources: dict[str, int]) -> None:
-        """Add bytes that came, by source."""
+    def add_sources(self, version: int, sources: dict[str, int]) -> None:
+        """Add the bytes received, by source."""
         total = self._sources.setdefault(version, {})
         for source, size in sources.items():
             total[source] = total.get(source, 0) + size
 
-    def in_force(
+    def record_in_effect(
         self,
         model: str,
         version: int,
         manifest: Manifest | None,
-        born: int,
-        wall: float,
+        engine_start: int,
+        wall_time: float,
     ) -> None:
-        """Report a version in force on one start of the engine, once.
+        """Report once per start of the engine that a version is in effect.
 
-        Also one that a newer has overtaken: the report would lack it otherwise.
+        A superseded version is reported, too: the report would lack it otherwise.
         """
-        if (version, born) in self._reported:
+        if (version, engine_start) in self._reported:
             return
-        self._reported.add((version, born))
-        fetched = version in self._begun
+        self._reported.add((version, engine_start))
+        fetched = version in self._started
         delivery = Delivery(
             vm=self.vm,
             service=self.service,
@@ -72,24 +78,24 @@
             model=model,
             version=str(version),
             manifest=manifest.digest if manifest else "",
-            begun=self._begun.get(version, wall),
+            begun=self._started.get(version, wall_time),
             verified=self._verified.get(version, 0.0),
-            in_force=wall,
+            in_force=wall_time,
             sources=self._sources.get(version, {}),
         )
         if fetched:
             self.log.add(delivery)
         else:
-            self.log.add_found(delivery)
+            self.log.add_if_absent(delivery)
         self.events.emit(
             "version.in-force",
             version=version,
-            seconds=round(wall - delivery.begun, 3),
+            seconds=round(wall_time - delivery.begun, 3),
             sources=delivery.sources,
         )
 
     async def write(self) -> None:
-        """Write what the store does not have yet; what fails is tried again later."""
+        """Write rows that the store lacks; rows that fail are retried later."""
         try:
             await self.log.write()
         except WasabideckError as exc:
--- a/packages/wasabideck_agent/wasabideck_agent/links.py
+++ b/packages/wasabideck_agent/wasabideck_agent/links.py
@@ -1,4 +1,4 @@
-"""Pacing of weight traffic on a VM's link, below live requests."""
+"""Rate limiting of weight traffic on a VM's link, with priority for live requests."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @define
 class Link:
-    """One direction of a link, passed in turn; a rate of 0 is no limit.
+    """One direction of a link that transmits first in, first out.
 
     Attributes
     ----------
     rate : float
-        Bytes per second.
+        Bytes per second; 0 for no limit.
     passed : int
-        Weight bytes that have gone through.
+        Weight bytes that were transmitted.
     """
 
     rate: float = 0.0
@@ -32,39 +32,39 @@
     _free_at: float = 0.0
 
     async def send(self, size: int) -> None:
-        """Wait for the link's turn, and until this many bytes have gone out."""
+        """Wait until the link is free and this many bytes have been transmitted."""
         await _wait(self.send_seconds(size, self.clock()))
 
     async def receive(self, size: int) -> None:
-        """Wait until the link could have carried the bytes that have just come."""
+        """Wait until the link could have carried the bytes that were just received."""
         await _wait(self.receive_seconds(size, self.clock()))
 
     def send_seconds(self, size: int, now: float) -> float:
-        """Seconds until bytes that are sent now, in turn, have gone out."""
+        """Return the seconds until bytes that are queued now have been transmitted."""
         begin = max(now, self._free_at)
-        return self._pass(size, begin, now)
+        return self._reserve(size, begin, now)
 
     def receive_seconds(self, size: int, now: float) -> float:
-        """Seconds by which bytes that came now came faster than the link allows.
+        """Return how much earlier bytes were received than the link's rate allows.
 
-        They were under way while the sender sent them, so a link that was idle as
-        long as they take delays them no further.
+        The bytes were in flight while the sender transmitted them. A link that was idle
+        for their transmission time adds no further delay.
         """
         began = now - size / self.rate if self.rate else now
-        return self._pass(size, max(began, self._free_at), now)
+        return self._reserve(size, max(began, self._free_at), now)
 
-    def give_way(self, size: int, now: float) -> None:
-        """Count live bytes: they never wait, the weights behind them do."""
+    def reserve_live(self, size: int, now: float) -> None:
+        """Count live bytes, which never wait but delay the weights behind them."""
         if self.rate:
             self._free_at = max(now, self._free_at) + size / self.rate
 
-    def give_back(self, size: int) -> None:
-        """Take back what was counted for bytes that were not sent after all."""
+    def release(self, size: int) -> None:
+        """Undo the reservation for bytes that were not sent after all."""
         self.passed -= size
         if self.rate:
             self._free_at -= size / self.rate
 
-    def _pass(self, size: int, begin: float, now: float) -> float:
+    def _reserve(self, size: int, begin: float, now: float) -> float:
         self.passed += size
         if not self.rate:
             return 0.0
@@ -79,7 +79,7 @@
 
 @define
 class Links:
-    """The links that one VM's weight traffic passes.
+    """The links that carry one VM's weight traffic.
 
     Attributes
     ----------
@@ -93,15 +93,15 @@
 
 
 def give_way_to_live(server: Server, links: Links) -> None:
-    """Count the live requests and answers that pass a server against its links."""
+    """Count a server's live requests and responses against its links."""
 
     async def sent(event: SendMessage) -> None:
         if isinstance(event.message, pb.RunEvent):
-            links.up.give_way(event.message.ByteSize(), links.up.clock())
+            links.up.reserve_live(event.message.ByteSize(), links.up.clock())
 
     async def received(event: RecvMessage) -> None:
         if isinstance(event.message, pb.RunRequest):
-            links.down.give_way(event.message.ByteSize(), links.down.clock())
+            links.down.reserve_live(event.message.ByteSize(), links.down.clock())
 
     listen(server, SendMessage, sent)
     listen(server, RecvMessage, received)
--- a/packages/wasabideck_agent/wasabideck_agent/listed_peers.py
+++ b/packages/wasabideck_agent/wasabideck_agent/listed_peers.py
@@ -1,4 +1,4 @@
-"""The agents that chunks are exchanged with: those beside servers that are listed."""
+"""The agents that exchange chunks: those beside servers that are listed."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 __all__ = ["ListedPeers"]
 
-# Who is listed is read again after so long (seconds).
-FRESH_SECONDS = 2.0
+# Maximum age of the list of servers before it is read again.
+MAX_AGE_SECONDS = 2.0
 
 
 @define
 class ListedPeers:
-    """Agents of this service, as far as a server beside them is listed.
+    """Agents of this service whose servers are listed.
 
-    Rows of members stay when a VM is gone for good. Chunks are ranked over all peers:
-    with a dozen gone ones each chunk waited for VMs that nobody hears of again, and
-    after a loss of power no server was loaded for 16 seconds.
+    Member rows stay when a VM is lost for good, and chunks are assigned to readers by
+    ranking all peers. With a dozen lost VMs each chunk waited for VMs that never
+    responded, and after a power loss no server was loaded for 16 seconds.
     """
 
     process: NodeProcess
@@ -30,12 +30,12 @@
     _read_at: float = float("-inf")
 
     async def refresh(self) -> None:
-        """Read, unless that was done a moment ago."""
-        if self.process.clock() - self._read_at > FRESH_SECONDS:
+        """Read the list of servers, unless it is recent."""
+        if self.process.clock() - self._read_at > MAX_AGE_SECONDS:
             await self.read()
 
     async def read(self) -> None:
-        """Read beside which VMs a server of this service is listed."""
+        """Read which VMs have a listed server of this service."""
         believer = self.process.believer
         try:
             changes = await believer.store.read(self.deployment.servers)
@@ -55,7 +55,7 @@
         self._read_at = self.process.clock()
 
     def members(self) -> list[Member]:
-        """The peers as far as is known; before the first read, all of the service."""
+        """Return the known peers; all of the service before the first read."""
         cfg = self.process.cfg
         return [
             m
--- a/packages/wasabideck_agent/wasabideck_agent/manifest_reader.py
+++ b/packages/wasabideck_agent/wasabideck_agent/manifest_reader.py
@@ -1,4 +1,4 @@
-"""Finds a manifest: with peers first, so that the origin is asked a few times only."""
+"""Finds a manifest: queries peers first, to limit the reads from the origin."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 
 __all__ = ["ManifestReader"]
 
-CALL_TIMEOUT = 2.0
-ASKED = 3
-PAUSE_SECONDS = 0.05
-# So many agents read a manifest from the origin at once, so that one that is lost
-# holds nobody up; the others do after a while without an answer of any peer.
-READERS = 2
-PATIENCE_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 2.0
+PEERS_PER_QUERY = 3
+RETRY_INTERVAL_SECONDS = 0.05
+# Number of agents that read a manifest from the origin immediately: more than one, so
+# that a lost reader delays nobody. The others read it when no peer has replied with it
+# after the maximum wait.
+ORIGIN_READERS = 2
+MAX_WAIT_SECONDS = 1.0
 
 
 @define
 class ManifestReader:
     """Reads manifests by digest, from peers or from the origin.
 
-    A peer's bytes are taken only if they have the digest that the ticket names, so
-    it does not matter who sent them.
+    A peer's bytes are accepted only if they have the digest of the ticket, so it does
+    not matter who sent them.
     """
 
     vm: str
@@ -43,53 +44,53 @@
     clock: Callable[[], float] = time.monotonic
 
     async def read(self, digest: str) -> Manifest:
-        """Manifest of that digest.
+        """Return the manifest of that digest.
 
         Raises
         ------
         PlatformUnavailable, PlatformRefused, CorruptManifest
-            No peer asked has it, and the origin does not give it.
+            No queried peer has it, and reading it from the origin failed.
         """
-        begun = self.clock()
+        started = self.clock()
         while True:
-            if manifest := await self._ask_peers(digest):
+            if manifest := await self._query_peers(digest):
                 return manifest
-            if self._reads(digest) or self.clock() - begun >= PATIENCE_SECONDS:
+            if self._reads_origin(digest) or self.clock() - started >= MAX_WAIT_SECONDS:
                 return await self.origin.manifest(digest)
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
-    def _reads(self, digest: str) -> bool:
+    def _reads_origin(self, digest: str) -> bool:
         vms = [self.vm, *(m.vm for m in self.peers_of() if not m.leaving)]
-        return self.vm in rank(digest, vms)[:READERS]
+        return self.vm in rank(digest, vms)[:ORIGIN_READERS]
 
-    async def _ask_peers(self, digest: str) -> Manifest | None:
-        """The manifest, from one of a few peers; none when nobody has it."""
+    async def _query_peers(self, digest: str) -> Manifest | None:
+        """Return the manifest from one of a few peers, or None if none has it."""
         members = {m.vm: m for m in self.peers_of()}
-        readers = rank(digest, members)[:READERS]
-        drawn = self.rng.sample(sorted(members), min(ASKED, len(members)))
-        asks = [
-            asyncio.create_task(self._ask(members[vm], digest))
+        readers = rank(digest, members)[:ORIGIN_READERS]
+        drawn = self.rng.sample(sorted(members), min(PEERS_PER_QUERY, len(members)))
+        queries = [
+            asyncio.create_task(self._query(members[vm], digest))
             for vm in dict.fromkeys([*readers, *drawn])
         ]
-        # Side by side: a frozen peer answers nothing, and asked in turn it would hold
-        # up every VM of its service for as long as a call may take.
+        # The peers are queried concurrently: a suspended peer never replies, and would
+        # delay every VM of its service by the timeout of a call if queried in turn.
         try:
-            for answer in asyncio.as_completed(asks, timeout=PATIENCE_SECONDS):
-                if manifest := await answer:
+            for reply in asyncio.as_completed(queries, timeout=MAX_WAIT_SECONDS):
+                if manifest := await reply:
                     return manifest
         except TimeoutError:
             return None
         finally:
-            for ask in asks:
-                ask.cancel()
+            for query in queries:
+                query.cancel()
         return None
 
-    async def _ask(self, member: Member, digest: str) -> Manifest | None:
+    async def _query(self, member: Member, digest: str) -> Manifest | None:
         channel = self.channels.get(member.address)
         stub = ChunksStub(channel)
         req = pb.HoldingsRequest(manifest=digest, vm=self.vm, want_manifest=True)
         try:
-            reply = await stub.Holdings(req, timeout=CALL_TIMEOUT)
+            reply = await stub.Holdings(req, timeout=CALL_TIMEOUT_SECONDS)
             return manifest_from_json(reply.manifest_json, digest)
         except LINK_FAILURES:
             self.channels.drop(member.address, channel)
--- a/packages/wasabideck_agent/wasabideck_agent/news_loop.py
+++ b/packages/wasabideck_agent/wasabideck_agent/news_loop.py
@@ -1,4 +1,4 @@
-"""Tells entries how the engine beside an agent is doing."""
+"""Sends reports on the engine beside an agent to the entries."""
 
 from __future__ import annotations
 
@@ -17,82 +17,84 @@
 
 __all__ = ["NewsLoop"]
 
-# The engine's own report from its own VM is fresh and costs a millisecond of processor.
-# Entries choose by this word: a place is free or taken every 0.1 s (seconds).
+# Interval between reports. The state read from the engine on the same VM is current and
+# costs a millisecond of processor time. Entries select servers by these reports, and a
+# slot is freed or taken every 0.1 s.
 LOOK_SECONDS = 0.1
-# Entries in other regions hear every sixth word, and each big change: a word is 70
-# bytes with its headers, the links between regions are thin, and a server near by is
-# chosen as long as one has a place. Two words fit into the time for which one is fresh.
+# Entries in other regions receive every sixth report, and each significant change. A
+# report takes 70 bytes with its headers, the links between regions are narrow, and a
+# local server is selected as long as one has a free slot. Two reports fit into the time
+# for which one counts as recent.
 FAR_EVERY = 6
-# Who is there changes rarely, and is looked at so often (seconds).
-MEMBERS_SECONDS = 1.0
+# Interval between updates of the list of members, which changes rarely.
+MEMBERS_INTERVAL_SECONDS = 1.0
 
 
 @define
 class NewsLoop:
-    """Looks at the engine and tells entries, ten times a second.
+    """Polls the engine and sends reports to entries, ten times a second.
 
     Attributes
     ----------
     describe : callable
-        The version begun on, whether new requests are taken, seconds until the newest
-        version is served, and the newest one whose age is known, for an engine's state;
-        None to tell nothing.
+        Given an engine's state, returns the version on which waiting requests start,
+        whether new requests are accepted, the seconds until the newest version is
+        served, and the newest version whose age is known; or None to send no report.
     """
 
     process: NodeProcess
     engine: Engine
     describe: Callable[[EngineState], tuple[int, bool, float, int] | None]
     sender: EngineNewsSender = field(factory=EngineNewsSender)
-    audience: Audience = field(factory=Audience)
-    _audience_at: float = float("-inf")
-    _last: EngineNews | None = None
-    _looks: int = 0
+    targets: Audience = field(factory=Audience)
+    _targets_updated_at: float = float("-inf")
+    _last_report: EngineNews | None = None
+    _periodic_reports: int = 0
 
     async def run(self) -> None:
-        """Tell for ever; an engine that does not answer is not told of."""
+        """Send reports until cancelled; none while the engine does not respond."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self.sender, local_addr=(self.process.cfg.ip, 0)
         )
         while True:
             try:
-                self.tell(await self.engine.state())
+                self.send_report(await self.engine.state())
             except WasabideckError:
-                # The main loop logs what is wrong with the engine.
-                self._last = None
+                # The agent's main loop logs the engine's failure.
+                self._last_report = None
             await asyncio.sleep(LOOK_SECONDS)
 
-    def tell(self, state: EngineState) -> None:
-        """Tell of a state: those near by always, the others now and then."""
+    def send_report(self, state: EngineState) -> None:
+        """Report a state: always to local entries, and periodically to remote ones."""
         described = self.describe(state)
         if described is None:
             return
-        version, serving, ready_in, named = described
-        news = EngineNews(
+        version, serving, ready_in, newest = described
+        report = EngineNews(
             self.process.cfg.server_address,
             version,
             serving,
             state.running,
             state.waiting,
             ready_in,
-            named,
+            newest,
             state.pace,
         )
-        self._take_members(self.process.clock())
-        if worth_telling(self._last, news):
-            self._last = news
-            self.sender.send(news, self.audience.for_change())
+        self._update_targets(self.process.clock())
+        if worth_telling(self._last_report, report):
+            self._last_report = report
+            self.sender.send(report, self.targets.for_change())
             return
-        with_far = self._looks % FAR_EVERY == 0
-        self._looks += 1
-        if with_far:
-            self._last = news
-        self.sender.send(news, self.audience.for_word(with_far))
+        include_remote = self._periodic_reports % FAR_EVERY == 0
+        self._periodic_reports += 1
+        if include_remote:
+            self._last_report = report
+        self.sender.send(report, self.targets.for_word(include_remote))
 
-    def _take_members(self, now: float) -> None:
-        if now - self._audience_at < MEMBERS_SECONDS:
+    def _update_targets(self, now: float) -> None:
+        if now - self._targets_updated_at < MEMBERS_INTERVAL_SECONDS:
             return
-        self._audience_at = now
+        self._targets_updated_at = now
         cfg, members = self.process.cfg, self.process.believer.hearsay.members
-        self.audience.take(*audience_of(cfg.vm, cfg.region, members.values()))
+        self.targets.take(*audience_of(cfg.vm, cfg.region, members.values()))
--- a/packages/wasabideck_agent/wasabideck_agent/node_agent.py
+++ b/packages/wasabideck_agent/wasabideck_agent/node_agent.py
@@ -1,4 +1,4 @@
-"""The agent on a node: brings its engine to the weights that the operators named."""
+"""The agent beside an engine: brings the engine to the declared weights."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from wasabideck_policy.superseding import OVERHEAD
 from wasabideck_policy.waves import DRAIN_SECONDS, wave_delay
 
-from .chunk_http import http_calls, listen_for_chunks, port_of_chunks
+from .chunk_http import chunk_port, http_calls, listen_for_chunks
 from .chunk_store import ChunkStore
 from .chunks_service import ChunksService
 from .deliveries_log import DeliveriesLog
@@ -38,77 +38,80 @@
 from .transfer import Transfer
 from .version_choice import VersionChoice
 
-__all__ = ["NodeAgent", "run_agent"]
-
-# The engine beside it is looked at so often: the look costs a millisecond of
-# processor, and a restarted engine is found empty by it (seconds).
-LOOK_SECONDS = 0.5
-# While an order is in progress, each look may end a wait of the whole service.
-ORDER_LOOK_SECONDS = 0.05
-RETRY_SECONDS = 0.3
-# An engine that has accepted an order says that it is busy after so long (seconds).
-ACCEPTED_SECONDS = 0.15
-# What came meanwhile is staged so often during a transfer (seconds).
-STAGE_SECONDS = 0.4
-# A transfer that lasts long and stands still may have a spoilt manifest, whose chunks
-# nobody has: it is read again then (seconds).
-MANIFEST_SECONDS = 3.0
-STILL_SECONDS = 0.5
-# The origin takes few connections for a whole fleet, and each agent would keep one by
-# its reads of the manifest: those that come late are turned away, and those that are
-# open when power is lost stay taken. A read of the next piece follows sooner (seconds).
-ORIGIN_IDLE_SECONDS = 1.0
-# Connections to peers are kept for the next chunk of the same transfer (seconds).
-PEER_IDLE_SECONDS = 3.0
-# Weights of the first version lie with the servers of a new deployment, and nobody
-# names it.
+__all__ = ["EngineAgent", "run_agent"]
+
+# Interval between polls of the idle engine. A poll costs a millisecond of processor
+# time, and detects that an engine has restarted and lost its weights.
+POLL_SECONDS = 0.5
+# Interval between polls while an order is in progress: each poll may end a pause that
+# affects the whole service.
+ORDER_POLL_SECONDS = 0.05
+RETRY_DELAY_SECONDS = 0.3
+# Time after which an engine that has accepted an order reports that it is busy.
+ORDER_ACCEPT_SECONDS = 0.15
+# Interval at which chunks received during a transfer are staged.
+STAGE_INTERVAL_SECONDS = 0.4
+# A long transfer that makes no progress may have a corrupt manifest, which lists chunks
+# that nobody holds. The manifest is then read again at this interval.
+MANIFEST_REREAD_SECONDS = 3.0
+NO_PROGRESS_SECONDS = 0.5
+# The origin accepts few connections for the whole deployment, and each agent would keep
+# one open after reading the manifest: later agents are refused, and connections that
+# are open when power is lost stay occupied. The next chunk is read sooner than this.
+ORIGIN_IDLE_TIMEOUT_SECONDS = 1.0
+# Connections to peers are kept open for the next chunk of the same transfer.
+PEER_IDLE_TIMEOUT_SECONDS = 3.0
+# The servers of a new deployment already hold the weights of the first version, which
+# no operator declares.
 FIRST_VERSION = 1
-# Entries begin nothing on older weights from half a second before their time is over:
-# a server that stops earlier than that loses requests that it could still begin.
-LAST_SECONDS = 0.6
-# What is left of the time for stopping when the agent leaves its engine: its loops end
-# within it, also on a slow VM (seconds).
-CLOSING_SECONDS = 1.3
-# The longest streams that can't go on elsewhere keep an engine from loading for so long
-# (seconds).
-LONGEST_DRAIN_SECONDS = 2.5
-# Chunks fetched at once from peers near by, and over a region's link; and sent at once.
-# Few bytes of each are under way, so that more of them keep the links busy while none
-# gets in the way of live requests: with 3, 1 and 3 half of the transfers of a version
-# took 8.7 s, with these 7.5 s (15 VMs, links of 3.65 Mbit/s).
-FETCHES = 8
-FAR_FETCHES = 4
-UPLOADS = 8
-# A region of three to five VMs has two to four peers to fetch from. With one fetch a
-# peer half of the transfers took 7.3 and 8.1 s, with two 6.8 and 7.1 s (15 and 10 VMs).
-FETCHES_A_PEER = 2
-# Copies that are read from the origin beyond the first, by agents in its own region:
-# the agents' links, which carry the servers' streams as well, are what a rollout waits
-# for, and half a copy makes it 0.2 s shorter. Other regions' links are paid dearly.
+# Entries start no request on older weights from half a second before these expire. A
+# server that stops earlier than that loses requests that it could still start.
+SWAP_MARGIN_SECONDS = 0.6
+# Part of the grace period that is reserved for shutting down the agent's loops, which
+# end within it also on a slow VM.
+SHUTDOWN_RESERVE_SECONDS = 1.3
+# Maximum time for which streams that cannot continue on another server delay a load.
+MAX_DRAIN_SECONDS = 2.5
+# Concurrent fetches from local peers, concurrent fetches over the region's link, and
+# concurrent uploads. Few bytes of each are in flight, so a higher number keeps the
+# links busy without delaying live requests. The median transfer of a version took 8.7 s
+# with 3, 1 and 3, and 7.5 s with these values (15 VMs, links of 3.65 Mbit/s).
+MAX_LOCAL_FETCHES = 8
+MAX_REMOTE_FETCHES = 4
+MAX_UPLOADS = 8
+# A region of three to five VMs has two to four peers to fetch from. The median transfer
+# took 7.3 and 8.1 s with one fetch per peer, and 6.8 and 7.1 s with two (15 and 10
+# VMs).
+MAX_FETCHES_PER_PEER = 2
+# Copies read from the origin in addition to the first one, by agents in the origin's
+# region. A rollout is limited by the agents' links, which also carry the servers'
+# streams, and half a copy shortens it by 0.2 s. Links of other regions are expensive.
 SPARE_COPIES = 0.5
-# A question for holdings and its answer are a kilobyte with all headers: asked once a
-# chunk they took 6 in 100 of the link, and the answers to fetches tell the same.
-ASK_SLOTS = 3.0
-# A peer that lives answers within 0.2 s, also with a full link; one that is gone holds
-# up the questions to others for so long (seconds).
-CALL_SECONDS = 0.6
+# Interval between polls for holdings, in slots. A poll and its reply take a kilobyte
+# with all headers: at one per chunk they used 6 % of the link, and the replies to
+# fetches carry the same information.
+HOLDINGS_POLL_SLOTS = 3.0
+# A live peer replies within 0.2 s, also over a full link. A lost peer delays the polls
+# of other peers by this timeout.
+CALL_TIMEOUT_SECONDS = 0.6
 
 
 async def run_agent(cfg: NodeSettings, deployment: Deployment) -> None:
-    """Run an agent until it is told to stop."""
+    """Run an agent until it is asked to stop."""
     store = ChunkStore()
-    # The inner protocol's windows keep the link's queue short; no pace is set here.
+    # The flow control windows of the inner protocol keep the link's queue short, so the
+    # links have no rate limit here.
     links = Links(Link(), Link(), Link())
-    chunks = ChunksService(store, links, UPLOADS)
+    chunks = ChunksService(store, links, MAX_UPLOADS)
     async with (
         node_process(cfg, AGENT, deployment, lambda p: (chunks,)) as process,
-        HttpPool(ORIGIN_IDLE_SECONDS) as to_origin,
-        HttpPool(PEER_IDLE_SECONDS) as to_peers,
+        HttpPool(ORIGIN_IDLE_TIMEOUT_SECONDS) as origin_pool,
+        HttpPool(PEER_IDLE_TIMEOUT_SECONDS) as peer_pool,
     ):
-        port = port_of_chunks(cfg.inner_port)
-        giving = await listen_for_chunks(chunks, cfg.ip, port)
+        port = chunk_port(cfg.inner_port)
+        chunk_server = await listen_for_chunks(chunks, cfg.ip, port)
         engine = deployment.open_engine(process.pool, cfg.server_address)
-        agent = NodeAgent(
+        agent = EngineAgent(
             process,
             deployment,
             engine,
@@ -116,23 +119,28 @@
             chunks,
             links,
             Staging(engine, store, process.events),
-            _book(process),
+            _delivery_tracker(process),
             ListedPeers(process, deployment),
-            to_origin,
-            http_calls(to_peers),
+            origin_pool,
+            http_calls(peer_pool),
         )
-        process.believer.on_version = lambda model, number: agent.news.set()
-        news = NewsLoop(process, engine, agent.describe)
-        agent.tell = news.tell
-        running = {asyncio.create_task(step) for step in (agent.run(), news.run())}
+        process.believer.on_version = lambda model, number: (
+            agent.declaration_event.set()
+        )
+        reporter = NewsLoop(process, engine, agent.describe)
+        agent.send_report = reporter.send_report
+        running = {
+            asyncio.create_task(coroutine)
+            for coroutine in (agent.run(), reporter.run())
+        }
         stopping = asyncio.create_task(process.stop.wait())
         await asyncio.wait({*running, stopping}, return_when=asyncio.FIRST_COMPLETED)
         if stopping.done() and not process.failed:
-            grace = process.cfg.bounds.grace - CLOSING_SECONDS
-            leaving = asyncio.create_task(agent.retirement.leave(grace))
-            running.add(leaving)
+            grace = process.cfg.bounds.grace - SHUTDOWN_RESERVE_SECONDS
+            draining = asyncio.create_task(agent.retirement.drain(grace))
+            running.add(draining)
             await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
-        giving.close()
+        chunk_server.close()
         for task in (*running, stopping):
             task.cancel()
         for task in running:
@@ -140,31 +148,31 @@
                 task.result()
 
 
-def _book(process: NodeProcess) -> DeliveryBook:
+def _delivery_tracker(process: NodeProcess) -> DeliveryBook:
     log = DeliveriesLog(process.believer.store)
     return DeliveryBook(process.cfg.vm, process.cfg.service, log, process.events)
 
 
 @define
-class NodeAgent:
-    """State of one agent on a node.
+class EngineAgent:
+    """State of one agent beside an engine.
 
     Attributes
     ----------
-    to_origin : HttpPool
-        Connections to the origin, which are let go when they idle.
+    origin_pool : HttpPool
+        Connections to the origin, closed when they are idle.
     calls : PeerCalls
-        How other agents are asked for chunks.
-    news : Event
-        Set when a version was named.
-    tell : callable
-        Tells entries at once of an engine's state.
+        Calls that request chunks from other agents.
+    declaration_event : Event
+        Set when a version was declared.
+    send_report : callable
+        Sends an engine report for the given state to the entries immediately.
     manifests : NumberedManifests
-        What is known of the versions' chunks.
-    choice : VersionChoice
-        Which of several named versions is fetched.
+        The manifests of declared versions.
+    version_choice : VersionChoice
+        Selects which of several declared versions is fetched.
     retirement : Retirement
-        Takes weights whose time is over out of the engine.
+        Unloads expired weights from the engine.
     """
 
     process: NodeProcess
@@ -176,129 +184,146 @@
     staging: Staging
     deliveries: DeliveryBook
     peers: ListedPeers
-    to_origin: HttpPool
+    origin_pool: HttpPool
     calls: PeerCalls
-    news: asyncio.Event = field(factory=asyncio.Event)
-    tell: Callable[[EngineState], None] = lambda state: None
+    declaration_event: asyncio.Event = field(factory=asyncio.Event)
+    send_report: Callable[[EngineState], None] = lambda state: None
     manifests: NumberedManifests = field(init=False)
-    choice: VersionChoice = field(init=False)
+    version_choice: VersionChoice = field(init=False)
     retirement: Retirement = field(init=False)
-    _gathering: Transfer | None = None
+    _current_transfer: Transfer | None = None
     _swapping_since: float | None = None
-    _serves: int = 0
-    _whole_since: dict[int, float] = field(factory=dict)
-    _born: int = 0
-    _ordered: tuple[int, int] = (0, 0)
-    _noted_end: int = 0
+    _served_version: int = 0
+    _complete_since: dict[int, float] = field(factory=dict)
+    _engine_start: int = 0
+    _last_order: tuple[int, int] = (0, 0)
+    _logged_expiry: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Give peers the manifests that are known here."""
+        """Create the parts that depend on this agent, and serve known manifests."""
         self.manifests = NumberedManifests(
             self.process, self.store, self.peers, self._origin
         )
-        self.chunks.numbered = self.manifests.word
-        self.choice = VersionChoice(self.process, self.manifests)
+        self.chunks.manifest_by_name = self.manifests.shareable_manifest
+        self.version_choice = VersionChoice(self.process, self.manifests)
         self.retirement = Retirement(
-            self.process, self.engine, self._model, lambda state: self.tell(state)
+            self.process,
+            self.engine,
+            self._model,
+            lambda state: self.send_report(state),
         )
 
     @property
     def events(self) -> Events:
-        """Where this agent's decisions are written."""
+        """The event log of this agent."""
         return self.process.events
 
     async def run(self) -> None:
-        """Bring the engine to what is named, and out of what is over, for ever."""
+        """Load declared versions and unload expired ones until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.retirement.run())
-            tasks.create_task(self._keep_stepping())
+            tasks.create_task(self._step_repeatedly())
 
-    async def _keep_stepping(self) -> None:
+    async def _step_repeatedly(self) -> None:
         while True:
             try:
                 settled = await self.step()
             except WasabideckError as exc:
                 self.events.emit("reconcile.failed", why=f"{type(exc).__name__}: {exc}")
-                await asyncio.sleep(RETRY_SECONDS * self.process.rng.uniform(0.7, 1.3))
+                await asyncio.sleep(
+                    RETRY_DELAY_SECONDS * self.process.rng.uniform(0.7, 1.3)
+                )
                 continue
             if settled:
-                await self._wait(LOOK_SECONDS)
+                await self._wait_for_declaration(POLL_SECONDS)
 
     async def step(self) -> bool:
-        """One step towards the named version; whether nothing is left to do."""
+        """Take one step towards the declared version.
+
+        Returns
+        -------
+        settled : bool
+            Whether the engine serves the declared version and nothing is left to do.
+        """
         model = self._model()
         if model is None:
-            await self._wait(STAGE_SECONDS)
+            await self._wait_for_declaration(STAGE_INTERVAL_SECONDS)
             return False
-        version = self._named(model)
+        version = self._declared_version(model)
         state = await self.engine.state()
-        if state.born != self._born:
-            self.staging.forget()
-            self._born = state.born
-        self._notice(model, state)
-        held = self._serves = held_version(state, model)
+        if state.born != self._engine_start:
+            self.staging.reset()
+            self._engine_start = state.born
+        self._record_state(model, state)
+        held = self._served_version = held_version(state, model)
         if held >= version:
-            await self._settle(model, held)
+            await self._retain_chunks(model, held)
             return True
-        if state.busy and self._ordered == (version, state.born):
-            await asyncio.sleep(ORDER_LOOK_SECONDS)
+        if state.busy and self._last_order == (version, state.born):
+            await asyncio.sleep(ORDER_POLL_SECONDS)
             return False
-        # While an older version is being loaded the link is free for the newest.
-        manifest = await self.choice.wanted(model, held, version)
-        if await self._gather(model, manifest):
+        # While the engine loads an older version the link is free to fetch the newest.
+        manifest = await self.version_choice.manifest_to_fetch(model, held, version)
+        if await self._fetch_and_stage(model, manifest):
             await self._swap(model, manifest)
         return False
 
-    def _notice(self, model: EngineModel, state: EngineState) -> None:
-        """Take in that a swap has ended and a version is in force.
+    def _record_state(self, model: EngineModel, state: EngineState) -> None:
+        """Record the end of a swap, and the version that is in effect.
 
-        Also while the main loop fetches the next version for seconds: entries would
-        send nothing to a server that has long loaded, and the report would lack a
-        version that another one overtook.
+        This is also called while the main loop fetches the next version for seconds.
+        Otherwise entries would send nothing to a server that finished loading long
+        ago, and the report would lack a version that was superseded meanwhile.
         """
         since = self._swapping_since
         if since is not None and not state.busy:
-            if self.process.clock() - since >= ACCEPTED_SECONDS:
+            if self.process.clock() - since >= ORDER_ACCEPT_SECONDS:
                 self._swapping_since = None
         if held := held_version(state, model):
             manifest = self.manifests.known(held)
             wall = time.time()
-            self.deliveries.in_force(model.model, held, manifest, state.born, wall)
+            self.deliveries.record_in_effect(
+                model.model, held, manifest, state.born, wall
+            )
 
     def describe(self, state: EngineState) -> tuple[int, bool, float, int] | None:
-        """What entries are told: version begun on, serving, ready in, newest dated.
+        """Return the agent's part of an engine report, or None for no report.
+
+        The items are: the version on which waiting requests start, whether the engine
+        accepts new requests, seconds until it serves the newest declared version, and
+        the newest version whose declaration time is known.
 
-        Nothing while the model is not known: the word that no version is held would
-        have entries take back what waits at a sound server. While an order is in
-        progress what waits begins on the version that it loads: entries would
-        otherwise take it back from there.
+        There is no report while the model is unknown: a report without a version would
+        make entries recall the waiting requests of a healthy server. While an order is
+        in progress the reported version is the one being loaded, as waiting requests
+        start on it: entries would otherwise recall them.
         """
         model = self._model()
         if model is None:
             return None
-        named = self._named(model)
-        self._notice(model, state)
-        self._note_end(model, state)
+        declared = self._declared_version(model)
+        self._record_state(model, state)
+        self._log_expiry(model, state)
         held = held_version(state, model)
         swapping = self._swapping_since is not None
         serving = held > 0 and not state.busy and not swapping
-        ready_in = self._ready_in(model, held, named)
-        ordered, born = self._ordered
+        ready_in = self._ready_in(model, held, declared)
+        ordered, born = self._last_order
         if born == state.born and (state.busy or swapping):
             held = max(held, ordered)
-        return held, serving, ready_in, self._dated(model)
+        return held, serving, ready_in, self._newest_with_known_time(model)
 
-    def _note_end(self, model: EngineModel, state: EngineState) -> None:
-        """One line on what an engine has when its weights are over."""
+    def _log_expiry(self, model: EngineModel, state: EngineState) -> None:
+        """Log the engine's load once when the weights that it serves have expired."""
         held = held_version(state, model)
         beliefs, bounds = self.process.believer.beliefs, self.process.cfg.bounds
         over_at = beliefs.over_at(model.model, held, bounds.version)
         now = self.process.clock()
-        if not 0 < held or held == self._noted_end:
+        if not 0 < held or held == self._logged_expiry:
             return
         if over_at is None or now < over_at:
             return
-        self._noted_end = held
+        self._logged_expiry = held
         self.events.emit(
             "weights.over",
             version=held,
@@ -308,19 +333,19 @@
             waiting=state.waiting,
         )
 
-    def _ready_in(self, model: EngineModel, held: int, named: int) -> float:
-        """Seconds until the newest named version is served, as far as is known."""
-        if held >= named:
+    def _ready_in(self, model: EngineModel, held: int, declared: int) -> float:
+        """Return the estimated seconds until the newest declared version is served."""
+        if held >= declared:
             return 0.0
         now = self.process.clock()
         if self._swapping_since is not None:
             swap = DRAIN_SECONDS + model.load_seconds
-            return max(LOOK_SECONDS, swap - (now - self._swapping_since))
+            return max(POLL_SECONDS, swap - (now - self._swapping_since))
         slot = model.chunk_bytes / max(self.process.cfg.link_rate, 1.0) * OVERHEAD
         missing = model.chunks
-        if self._gathering is not None:
-            missing = self._gathering.view.missing
-            if int(self._gathering.manifest.version) != named:
+        if self._current_transfer is not None:
+            missing = self._current_transfer.view.missing
+            if int(self._current_transfer.manifest.version) != declared:
                 missing += model.chunks
         return missing * slot + DRAIN_SECONDS + model.load_seconds
 
@@ -329,157 +354,185 @@
         service = cfg.services.get(self.process.cfg.service) if cfg else None
         return service.engine if service else None
 
-    def _named(self, model: EngineModel) -> int:
-        named = self.process.believer.beliefs.newest_version(model.model)
-        return named or FIRST_VERSION
+    def _declared_version(self, model: EngineModel) -> int:
+        declared = self.process.believer.beliefs.newest_version(model.model)
+        return declared or FIRST_VERSION
 
-    def _dated(self, model: EngineModel) -> int:
-        """The newest version whose end this agent knows, and holds its engine to."""
+    def _newest_with_known_time(self, model: EngineModel) -> int:
+        """Return the newest version whose expiry this agent knows and enforces."""
         beliefs = self.process.believer.beliefs
         return beliefs.newest_dated(model.model) or FIRST_VERSION
 
-    async def _settle(self, model: EngineModel, version: int) -> None:
-        """Hold the chunks of what is in force for servers that lack them."""
+    async def _retain_chunks(self, model: EngineModel, version: int) -> None:
+        """Keep the chunks of the version in effect for peers that lack them."""
         await self.deliveries.write()
         manifest = await self.manifests.get(model.model, version)
         if not self.store.whole(manifest):
-            taken = await self.staging.take_up(manifest)
-            self.events.emit("staging.taken-up", version=version, pieces=taken)
-        self._forget_before(version)
+            stored = await self.staging.store_staged(manifest)
+            self.events.emit("staging.taken-up", version=version, pieces=stored)
+        self._discard_older(version)
 
     def _origin(self) -> NumberedOrigin:
-        place = self.process.believer.beliefs.configuration.origin()
-        address = place.address if place else ""
-        return self.deployment.open_origin(self.to_origin, address)
+        origin = self.process.believer.beliefs.configuration.origin()
+        address = origin.address if origin else ""
+        return self.deployment.open_origin(self.origin_pool, address)
 
-    async def _gather(self, model: EngineModel, manifest: Manifest) -> bool:
-        """Fetch a version's chunks and stage them; whether it is whole and wanted."""
+    async def _fetch_and_stage(self, model: EngineModel, manifest: Manifest) -> bool:
+        """Fetch and stage a version's chunks.
+
+        Returns
+        -------
+        ready : bool
+            Whether the version is complete and still to be loaded.
+        """
         version = int(manifest.version)
         if self.store.whole(manifest):
-            await self.staging.place(manifest)
+            await self.staging.stage_stored(manifest)
             return True
-        await self.staging.take_up(manifest)
-        if self.deliveries.begin(version, time.time()):
-            self.choice.begin(version)
+        await self.staging.store_staged(manifest)
+        if self.deliveries.record_start(version, time.time()):
+            self.version_choice.record_start(version)
             self.events.emit(
                 "transfer.begun", manifest=manifest.digest, version=version
             )
         if self.store.whole(manifest):
-            # All of it lay staged: nobody has to be asked for anything.
-            await self._verified(manifest, {})
+            # All chunks were staged already, so no peer has to be queried.
+            await self._finish_transfer(manifest, {})
             return True
         await self.peers.refresh()
-        transfer = self._gathering = self._transfer(manifest)
+        transfer = self._current_transfer = self._new_transfer(manifest)
         fetching = asyncio.create_task(transfer.run())
         try:
-            return await self._attend(model, manifest, transfer, fetching)
+            return await self._stage_while_fetching(model, manifest, transfer, fetching)
         finally:
-            self._gathering = None
+            self._current_transfer = None
             fetching.cancel()
             await asyncio.gather(fetching, return_exceptions=True)
-            self.deliveries.count(version, transfer.sources)
+            self.deliveries.add_sources(version, transfer.sources)
 
-    async def _attend(
+    async def _stage_while_fetching(
         self,
         model: EngineModel,
         manifest: Manifest,
         transfer: Transfer,
         fetching: asyncio.Task,
     ) -> bool:
-        """Stage what comes until all is there, or something newer is wanted."""
+        """Stage chunks as they arrive, until all are there or the transfer is dropped.
+
+        Returns
+        -------
+        complete : bool
+            Whether all chunks were received.
+        """
         version = int(manifest.version)
         read_at = self.process.clock()
         while not fetching.done():
-            await asyncio.wait({fetching}, timeout=STAGE_SECONDS)
-            await self.staging.place(manifest)
+            await asyncio.wait({fetching}, timeout=STAGE_INTERVAL_SECONDS)
+            await self.staging.stage_stored(manifest)
             missing = transfer.view.wanted.bit_count()
-            newest = self._named(model)
+            newest = self._declared_version(model)
             if newest == version:
-                if self.choice.stalls(model, self._serves, version, transfer):
+                if self.version_choice.is_stalled(
+                    model, self._served_version, version, transfer
+                ):
                     return False
-            elif not self.choice.goes_on(model, manifest, missing, newest):
+            elif not self.version_choice.continues_fetching(
+                model, manifest, missing, newest
+            ):
                 return False
             now = self.process.clock()
-            still = transfer.still_for() > STILL_SECONDS
-            if still and now - read_at > MANIFEST_SECONDS:
+            no_progress = transfer.seconds_without_progress() > NO_PROGRESS_SECONDS
+            if no_progress and now - read_at > MANIFEST_REREAD_SECONDS:
                 read_at = now
                 await self.peers.read()
-                if await self._reread(model, manifest):
+                if await self._reread_manifest(model, manifest):
                     return False
         fetching.result()
-        await self._verified(manifest, transfer.sources)
+        await self._finish_transfer(manifest, transfer.sources)
         return True
 
-    async def _verified(self, manifest: Manifest, sources: dict[str, int]) -> None:
-        """Stage the rest of a version that is whole here, and note where it is from."""
-        await self.staging.place(manifest)
-        self.deliveries.verify(int(manifest.version), time.time())
+    async def _finish_transfer(
+        self, manifest: Manifest, sources: dict[str, int]
+    ) -> None:
+        """Stage the remaining chunks of a complete version, and record its sources."""
+        await self.staging.stage_stored(manifest)
+        self.deliveries.record_verified(int(manifest.version), time.time())
         self.events.emit("transfer.verified", manifest=manifest.digest, sources=sources)
 
-    async def _reread(self, model: EngineModel, manifest: Manifest) -> bool:
-        """Read a manifest again; whether it is another one than before."""
+    async def _reread_manifest(self, model: EngineModel, manifest: Manifest) -> bool:
+        """Read a manifest again, and return whether it differs from the given one."""
         version = int(manifest.version)
         with contextlib.suppress(WasabideckError):
             await self.manifests.find(model.model, version)
         return self.manifests.differs(version, manifest)
 
     async def _swap(self, model: EngineModel, manifest: Manifest) -> None:
-        """Order the engine to load what lies staged, when its time has come."""
+        """Order the engine to load the staged chunks, once its rollout wave starts."""
         version = int(manifest.version)
-        state = await self._when_free(model, version)
+        state = await self._state_when_idle(model, version)
         if state is None:
             return
         now = self.process.clock()
-        if self._soon_over(model, version, state.running, now):
-            await asyncio.sleep(RETRY_SECONDS)
+        if self._expires_before_load(model, version, state.running, now):
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
             return
-        if now < self._stops_at(model, version, now):
-            await asyncio.sleep(ORDER_LOOK_SECONDS)
+        if now < self._swap_start(model, version, now):
+            await asyncio.sleep(ORDER_POLL_SECONDS)
             return
         self.retirement.loading = True
         try:
-            await self._load(model, manifest)
+            await self._order_load(model, manifest)
         finally:
             self.retirement.loading = False
 
-    async def _when_free(self, model: EngineModel, version: int) -> EngineState | None:
-        """The engine's state when it takes an order; None to look at everything anew.
+    async def _state_when_idle(
+        self, model: EngineModel, version: int
+    ) -> EngineState | None:
+        """Wait until the engine accepts orders, and return its state.
 
-        A version that was overtaken is waited with: whoever looks anew turns to the
-        newest, whose pieces are staged over it.
+        Returns None if the caller has to evaluate the situation again. A superseded
+        version keeps waiting here: a new evaluation would turn to the newest version,
+        whose chunks overwrite the staged ones.
         """
         while (state := await self.engine.state()).busy:
-            await asyncio.sleep(ORDER_LOOK_SECONDS)
-            if version >= self._named(model) or state.born != self._born:
+            await asyncio.sleep(ORDER_POLL_SECONDS)
+            if (
+                version >= self._declared_version(model)
+                or state.born != self._engine_start
+            ):
                 return None
-            if self._ordered == (version, state.born):
+            if self._last_order == (version, state.born):
                 return None
-            if self._soon_over(model, version, 0, self.process.clock()):
+            if self._expires_before_load(model, version, 0, self.process.clock()):
                 return None
         return state if held_version(state, model) < version else None
 
-    def _soon_over(
+    def _expires_before_load(
         self, model: EngineModel, version: int, running: int, now: float
     ) -> bool:
-        """Whether a version that was overtaken may be over when it is loaded.
+        """Whether a superseded version may have expired when it is loaded.
 
-        What waits meanwhile begins on it, and may do so only after the longest of what
-        runs has ended. Where the date of a newer version is unknown it may be over.
+        Requests that wait during the load start on it, and only after the longest
+        running request has ended. If the declaration time of a newer version is
+        unknown, the version may have expired.
         """
-        takes = model.load_seconds + (LONGEST_DRAIN_SECONDS if running else 0.0)
+        duration = model.load_seconds + (MAX_DRAIN_SECONDS if running else 0.0)
         beliefs, within = self.process.believer.beliefs, self.process.cfg.bounds.version
-        return version < beliefs.least_version(model.model, within, now + takes)
+        return version < beliefs.least_version(model.model, within, now + duration)
 
-    async def _load(self, model: EngineModel, manifest: Manifest) -> None:
-        """Check what lies staged and order the engine to load it."""
+    async def _order_load(self, model: EngineModel, manifest: Manifest) -> None:
+        """Verify the staged chunks and order the engine to load them."""
         version = int(manifest.version)
-        state = await self.staging.check(manifest)
-        if self._soon_over(model, version, state.running, self.process.clock()):
-            # The check takes seconds on a slow VM.
+        state = await self.staging.verify(manifest)
+        if self._expires_before_load(
+            model, version, state.running, self.process.clock()
+        ):
+            # The verification takes seconds on a slow VM.
             return
-        # Entries hear first, so that they send elsewhere what would wait out the swap.
+        # Notify the entries first, so that they send requests elsewhere that would have
+        # to wait for the whole swap.
         self._swapping_since = self.process.clock()
-        self.tell(state)
+        self.send_report(state)
         answer = await self.engine.load(
             model.model, version, queue=True, accepted=state.orders
         )
@@ -493,39 +546,40 @@
         )
         if answer is OrderAnswer.REFUSED:
             self._swapping_since = None
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
             return
-        # From now on: an order may take longer to be accepted than a swap seems to.
+        # Restart the time: accepting an order may take longer than
+        # ORDER_ACCEPT_SECONDS, and the swap would seem to be over.
         self._swapping_since = self.process.clock()
-        self._ordered = (version, state.born)
-        self.tell(evolve(state, busy=True))
+        self._last_order = (version, state.born)
+        self.send_report(evolve(state, busy=True))
 
     def _newest_fields(self, model: EngineModel) -> dict[str, object]:
-        """Fields of an event on an order: the newest version that is known here."""
+        """Return event fields of an order: the newest version known to this agent."""
         newest = self.process.believer.beliefs.newest(model.model)
         if newest is None:
             return {"newest": 0, "newest_age": None, "dated": False}
         age = round(newest.age(self.process.clock()), 3)
         return {"newest": newest.number, "newest_age": age, "dated": newest.certain}
 
-    def _stops_at(self, model: EngineModel, version: int, now: float) -> float:
-        """When the engine may stop for a version that is whole here, seconds."""
-        if self._serves == 0:
+    def _swap_start(self, model: EngineModel, version: int, now: float) -> float:
+        """Return the time at which the engine may stop to load a complete version."""
+        if self._served_version == 0:
             return now
-        since = self._whole_since.setdefault(version, now)
+        since = self._complete_since.setdefault(version, now)
         believer, cfg = self.process.believer, self.process.cfg
         over_at = believer.beliefs.over_at(
-            model.model, self._serves, cfg.bounds.version
+            model.model, self._served_version, cfg.bounds.version
         )
         if over_at is None:
             return now
-        last = over_at - LAST_SECONDS
+        latest = over_at - SWAP_MARGIN_SECONDS
         vms = {cfg.vm, *(member.vm for member in self.peers.members())}
-        spare = last - since
-        delay = wave_delay(cfg.vm, version, vms, model.load_seconds, spare)
-        return min(since + delay, last)
+        available = latest - since
+        delay = wave_delay(cfg.vm, version, vms, model.load_seconds, available)
+        return min(since + delay, latest)
 
-    def _transfer(self, manifest: Manifest) -> Transfer:
+    def _new_transfer(self, manifest: Manifest) -> Transfer:
         cfg = self.process.cfg
         return Transfer(
             Member(cfg.vm, AGENT, cfg.inner_address, cfg.region, cfg.data_centre),
@@ -537,40 +591,40 @@
             self.links,
             self.process.events,
             self.peers.members,
-            _weights(cfg, self._spare_copies()),
+            _weights_settings(cfg, self._spare_copies()),
             self.process.rng,
         )
 
     def _spare_copies(self) -> float:
-        """Copies that all would read beyond the first if all did as this agent."""
+        """Return the extra origin copies if every agent read as much as this one."""
         cfg = self.process.cfg
-        place = self.process.believer.beliefs.configuration.origin()
-        if place is None or cfg.regions.get(place.data_centre) != cfg.region:
+        origin = self.process.believer.beliefs.configuration.origin()
+        if origin is None or cfg.regions.get(origin.data_centre) != cfg.region:
             return 0.0
         peers = self.peers.members()
-        near = 1 + sum(peer.region == cfg.region for peer in peers)
-        return SPARE_COPIES * (1 + len(peers)) / near
+        local = 1 + sum(peer.region == cfg.region for peer in peers)
+        return SPARE_COPIES * (1 + len(peers)) / local
 
-    def _forget_before(self, version: int) -> None:
-        if self.manifests.forget_before(version):
+    def _discard_older(self, version: int) -> None:
+        if self.manifests.discard_older(version):
             self.store.keep_only(self.manifests.digests())
 
-    async def _wait(self, seconds: float) -> None:
-        """Wait for news, at most so long."""
-        self.news.clear()
+    async def _wait_for_declaration(self, seconds: float) -> None:
+        """Wait for a declaration, for at most the given time."""
+        self.declaration_event.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self.news.wait()
+                await self.declaration_event.wait()
 
 
-def _weights(cfg: NodeSettings, spare_copies: float) -> WeightsSettings:
+def _weights_settings(cfg: NodeSettings, spare_copies: float) -> WeightsSettings:
     return WeightsSettings(
-        fetches=FETCHES,
-        far_fetches=FAR_FETCHES,
-        fetches_a_peer=FETCHES_A_PEER,
-        ask_slots=ASK_SLOTS,
+        fetches=MAX_LOCAL_FETCHES,
+        far_fetches=MAX_REMOTE_FETCHES,
+        fetches_a_peer=MAX_FETCHES_PER_PEER,
+        ask_slots=HOLDINGS_POLL_SLOTS,
         spare_copies=spare_copies,
-        uploads=UPLOADS,
-        call_seconds=CALL_SECONDS,
+        uploads=MAX_UPLOADS,
+        call_seconds=CALL_TIMEOUT_SECONDS,
         link_rate=cfg.link_rate,
     )
--- a/packages/wasabideck_agent/wasabideck_agent/origin_chunks.py
+++ b/packages/wasabideck_agent/wasabideck_agent/origin_chunks.py
@@ -1,4 +1,4 @@
-"""The origin's pieces by number, given as chunks by digest."""
+"""Adapts an origin that numbers its chunks to reads by digest."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class NumberedOrigin(Protocol):
-    """An origin that knows a version's pieces by their numbers."""
+    """An origin that identifies a version's chunks by their indices."""
 
     async def manifest(self, model: str, version: int) -> Manifest:
-        """Digests of a version's pieces."""
+        """Return the manifest with the digests of a version's chunks."""
 
     async def piece(self, model: str, version: int, index: int) -> bytes:
-        """A piece's bytes, unchecked."""
+        """Return a chunk's bytes, unverified."""
 
 
 @define
 class OriginChunks:
-    """What a transfer reads from the origin."""
+    """Reads the chunks of one manifest from the origin."""
 
     origin: NumberedOrigin
     manifest: Manifest
 
     async def chunk(self, digest: str, vm: str) -> bytes:
-        """Chunk of that digest; raises ``CorruptChunk`` on any other bytes."""
+        """Return the chunk of that digest; raise ``CorruptChunk`` on other bytes."""
         index = self.manifest.places[digest][0]
         version = int(self.manifest.version)
         data = await self.origin.piece(self.manifest.model, version, index)
--- a/packages/wasabideck_agent/wasabideck_agent/peer_calls.py
+++ b/packages/wasabideck_agent/wasabideck_agent/peer_calls.py
@@ -1,4 +1,4 @@
-"""How a transfer asks its peers: by what they hold, and for chunks."""
+"""Calls by which a transfer queries its peers' holdings and fetches their chunks."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 
 @frozen
 class PeerCalls:
-    """Calls of other agents; each raises one of ``LINK_FAILURES`` when it fails.
+    """Calls to other agents; each raises one of ``LINK_FAILURES`` when it fails.
 
     Attributes
     ----------
     fetch : callable
-        Given an address, a request and seconds, the parts of a chunk as they come.
+        Given an address, a request and a timeout in seconds, yields the parts of a
+        chunk as they arrive.
     holdings : callable
-        Given an address, a request and seconds, what the agent there holds.
+        Given an address, a request and a timeout in seconds, returns which chunks the
+        agent holds.
     drop : callable
-        Given an address, closes connections that may be silent.
+        Given an address, closes connections that may be unresponsive.
     """
 
     fetch: Callable[[str, pb.FetchRequest, float], AsyncIterator[pb.FetchPart]]
@@ -32,7 +34,7 @@
 
 
 def grpc_calls(channels: Channels) -> PeerCalls:
-    """Calls over the inner protocol's channels."""
+    """Return calls over the channels of the inner protocol."""
 
     async def fetch(
         address: str, req: pb.FetchRequest, seconds: float
--- a/packages/wasabideck_agent/wasabideck_agent/peers_word.py
+++ b/packages/wasabideck_agent/wasabideck_agent/peers_word.py
@@ -1,4 +1,4 @@
-"""What peers say that a numbered version's manifest is."""
+"""Requests the manifest of a numbered version from peers."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 from .bitmaps import from_bitmap
 
-__all__ = ["ask_all", "ask_peers"]
+__all__ = ["query_all", "query_peers"]
 
-# Peers asked at once. A manifest of 64 chunks is 4.4 KB, so that so many answers are
-# as many bytes as one chunk. Where one peer of 41 has it, a try in seven finds it.
-ASKED = 6
-# A peer that lives answers within 0.2 s, also with a full link (seconds).
-ASK_SECONDS = 0.6
+# Peers queried at once. A manifest of 64 chunks takes 4.4 KB, so this many replies take
+# as many bytes as one chunk. If one peer of 41 has it, one attempt in seven finds it.
+MAX_QUERIED_PEERS = 6
+# A live peer replies within 0.2 s, also over a full link.
+QUERY_TIMEOUT_SECONDS = 0.6
 
 
-async def ask_peers(
+async def query_peers(
     model: str,
     version: int,
     vm: str,
@@ -36,36 +36,36 @@
     channels: Channels,
     rng: random.Random,
 ) -> list[Word]:
-    """The words of a few peers, drawn at random; of those that have one to give.
+    """Return the reports of a few peers, drawn at random, that have a manifest.
 
     Parameters
     ----------
     vm : str
-        The asker.
+        The VM of the agent that asks.
     """
-    drawn = rng.sample(peers, min(ASKED, len(peers)))
-    return await ask_all(model, version, vm, drawn, channels)
+    drawn = rng.sample(peers, min(MAX_QUERIED_PEERS, len(peers)))
+    return await query_all(model, version, vm, drawn, channels)
 
 
-async def ask_all(
+async def query_all(
     model: str, version: int, vm: str, peers: Sequence[Member], channels: Channels
 ) -> list[Word]:
-    """The words of all these peers that have one to give."""
-    # Side by side: one that is frozen would hold up the question to the others.
-    words = await asyncio.gather(
-        *(_ask(model, version, vm, peer, channels) for peer in peers)
+    """Return the reports of those of the given peers that have a manifest."""
+    # The peers are queried concurrently: a suspended one would delay the others.
+    reports = await asyncio.gather(
+        *(_query(model, version, vm, peer, channels) for peer in peers)
     )
-    return [word for word in words if word is not None]
+    return [report for report in reports if report is not None]
 
 
-async def _ask(
+async def _query(
     model: str, version: int, vm: str, peer: Member, channels: Channels
 ) -> Word | None:
     name = numbered_name(model, version)
     req = pb.HoldingsRequest(manifest=name, vm=vm, want_manifest=True)
     channel = channels.get(peer.address)
     try:
-        reply = await ChunksStub(channel).Holdings(req, timeout=ASK_SECONDS)
+        reply = await ChunksStub(channel).Holdings(req, timeout=QUERY_TIMEOUT_SECONDS)
         if not reply.manifest_json:
             return None
         manifest = numbered_from_json(reply.manifest_json, model, version)
--- a/packages/wasabideck_agent/wasabideck_agent/retirement.py
+++ b/packages/wasabideck_agent/wasabideck_agent/retirement.py
@@ -1,8 +1,9 @@
-"""Takes weights out of an engine before their time is over.
+"""Unloads weights from an engine before they expire.
 
-Entries stop sending in time and take back what waits, but both reach the engine over a
-link that may be full, from a process that may stand still. An order comes from the
-engine's own VM, and once it is accepted nothing begins on the weights that are there.
+Entries stop sending requests in time and recall the waiting ones, but their messages
+reach the engine over a link that may be full, from a process that may be suspended. An
+order comes from the engine's own VM, and once the engine has accepted it no request
+starts on the current weights.
 """
 
 from __future__ import annotations
@@ -21,146 +22,161 @@
 
 __all__ = ["Retirement"]
 
-# How long before the end the order goes out. What has a place by then may still have
-# its prompt read before it begins, 50 ms each; entries send nothing later than this
-# (seconds).
-AHEAD_SECONDS = 0.45
-# While newer weights are checked for an order of their own, that one is waited for
-# until so long before the end (seconds).
-LATEST_SECONDS = 0.3
-LOOK_SECONDS = 0.05
-# While no version's end is near, looks are so far apart: a date that is found meanwhile
-# is acted on well within the time ahead (seconds).
-QUIET_SECONDS = 0.2
-# An engine that holds nothing is looked at so often, in case that an order still brings
-# overdue weights in; and so long after an order that it refused (seconds).
-EMPTY_LOOK_SECONDS = 0.2
-# A process that stops tries for so long to take the weights out at last (seconds).
-LAST_TRIES_SECONDS = 0.5
-# A call to the engine on the same VM that takes longer is given up and made again: an
-# order fits the engine's state once, however often it arrives (seconds).
-CALL_SECONDS = 0.25
+# How long before the expiry the order is sent. A request that has a slot by then may
+# still have its prompt processed before it starts, which takes 50 ms each. Entries send
+# no request later than this.
+UNLOAD_LEAD_SECONDS = 0.45
+# While an order to load newer weights is prepared, it is waited for until this long
+# before the expiry.
+UNLOAD_LEAD_WHILE_LOADING_SECONDS = 0.3
+CHECK_INTERVAL_SECONDS = 0.05
+# Interval between checks while no expiry is near. A declaration time that is found in
+# between is acted on well within UNLOAD_LEAD_SECONDS.
+IDLE_CHECK_INTERVAL_SECONDS = 0.2
+# Delay until the next check of an empty engine, in case an order in progress still
+# loads expired weights, and after an order that the engine refused.
+RECHECK_DELAY_SECONDS = 0.2
+# A process that shuts down retries to unload the weights for this long at the end.
+FINAL_RETRIES_SECONDS = 0.5
+# Timeout of a call to the engine on the same VM, after which the call is repeated. An
+# order is accepted once per engine state, however often it arrives.
+CALL_TIMEOUT_SECONDS = 0.25
 
 
 @define
 class Retirement:
-    """Retires the weights of one engine when newer ones are due.
+    """Unloads the weights of one engine when newer ones are due.
 
     Attributes
     ----------
     model : callable
-        The model that the engine serves; None while it is not known.
-    tell : callable
-        Tells entries at once of an engine's state.
+        Returns the model that the engine serves, or None while it is unknown.
+    send_report : callable
+        Sends an engine report for the given state to the entries immediately.
     loading : bool
-        An order to load newer weights is being prepared.
+        Whether an order to load newer weights is being prepared.
     """
 
     process: NodeProcess
     engine: Engine
     model: Callable[[], EngineModel | None]
-    tell: Callable[[EngineState], None]
+    send_report: Callable[[EngineState], None]
     loading: bool = False
-    _none_older_than: int = 0
-    _next_look: float = float("-inf")
+    _unloaded_below: int = 0
+    _retry_at: float = float("-inf")
 
     async def run(self) -> None:
-        """Look for ever whether weights have to go."""
+        """Check periodically, until cancelled, whether weights have to be unloaded."""
         while True:
-            await asyncio.sleep(self.pause(self.process.clock()))
-            with self._noting_failures():
-                await self.look(self.process.clock())
+            await asyncio.sleep(self.check_delay(self.process.clock()))
+            with self._logging_failures():
+                await self.check(self.process.clock())
 
-    def pause(self, now: float) -> float:
-        """Seconds until the next look: short only when weights may have to go soon."""
+    def check_delay(self, now: float) -> float:
+        """Return the delay to the next check, which is short only near an expiry."""
         model = self.model()
         if model is None:
-            return QUIET_SECONDS
-        soon = self.due(model, now + AHEAD_SECONDS + QUIET_SECONDS)
-        return LOOK_SECONDS if soon > self._none_older_than else QUIET_SECONDS
-
-    async def look(self, now: float) -> None:
-        """Take out what is older than the version that is due soon."""
+            return IDLE_CHECK_INTERVAL_SECONDS
+        soon = self.required_version(
+            model, now + UNLOAD_LEAD_SECONDS + IDLE_CHECK_INTERVAL_SECONDS
+        )
+        return (
+            CHECK_INTERVAL_SECONDS
+            if soon > self._unloaded_below
+            else IDLE_CHECK_INTERVAL_SECONDS
+        )
+
+    async def check(self, now: float) -> None:
+        """Unload weights that are older than the version that is due soon."""
         model = self.model()
         if model is None:
             return
-        ahead = LATEST_SECONDS if self.loading else AHEAD_SECONDS
-        due = self.due(model, now + ahead)
-        if due > self._none_older_than and now >= self._next_look:
-            await self._take_out(model, due)
+        ahead = (
+            UNLOAD_LEAD_WHILE_LOADING_SECONDS if self.loading else UNLOAD_LEAD_SECONDS
+        )
+        due = self.required_version(model, now + ahead)
+        if due > self._unloaded_below and now >= self._retry_at:
+            await self._unload_older(model, due)
 
-    async def leave(self, grace: float) -> None:
-        """Go on until the engine has no weights that will be over.
+    async def drain(self, grace: float) -> None:
+        """Wait until the engine has no weights that will expire.
 
-        After it there is nobody who could take them out.
+        Nothing else could unload them once this agent has terminated.
 
         Parameters
         ----------
         grace : float
-            Seconds after which they are taken out at once.
+            Seconds after which the weights are unloaded without further waiting.
         """
         end = self.process.clock() + grace
         self.process.events.emit("process.leaving", seconds=grace)
         while (now := self.process.clock()) < end:
             model = self.model()
             newest = self._newest(model)
-            if model is None or not newest or not await self._outlived(model, newest):
+            if (
+                model is None
+                or not newest
+                or not await self._serves_superseded(model, newest)
+            ):
                 return
-            if now >= end - LAST_TRIES_SECONDS:
-                with self._noting_failures():
-                    await self._take_out(model, newest)
-            await asyncio.sleep(LOOK_SECONDS)
+            if now >= end - FINAL_RETRIES_SECONDS:
+                with self._logging_failures():
+                    await self._unload_older(model, newest)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _newest(self, model: EngineModel | None) -> int:
         beliefs = self.process.believer.beliefs
         return beliefs.newest_version(model.model) if model else 0
 
-    async def _outlived(self, model: EngineModel, newest: int) -> bool:
-        """Whether requests can or will begin on weights that are not the newest."""
-        with self._noting_failures():
-            async with asyncio.timeout(CALL_SECONDS):
+    async def _serves_superseded(self, model: EngineModel, newest: int) -> bool:
+        """Whether requests can still start on weights that are not the newest."""
+        with self._logging_failures():
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 state = await self.engine.state()
             return state.busy or 0 < held_version(state, model) < newest
         return True
 
     @contextmanager
-    def _noting_failures(self) -> Iterator[None]:
-        """Pass over a call that failed, with a line: it is made again."""
+    def _logging_failures(self) -> Iterator[None]:
+        """Log a failed call to the engine and suppress its error: it is retried."""
         try:
             yield
         except (WasabideckError, TimeoutError) as exc:
             why = f"{type(exc).__name__}: {exc}"
             self.process.events.emit("retirement.failed", why=why)
 
-    def due(self, model: EngineModel, at: float) -> int:
-        """The version that the engine may begin requests on at least, at a time.
+    def required_version(self, model: EngineModel, at: float) -> int:
+        """Return the lowest version on which requests may start at the given time.
 
-        A version whose date is unknown is not due for ``stable`` seconds, in which its
-        date may be found. Entries send nothing to older weights meanwhile.
+        A version whose declaration time is unknown is not due for ``stable`` seconds,
+        during which the time may be found. Meanwhile entries send no requests to older
+        weights.
         """
         bounds, beliefs = self.process.cfg.bounds, self.process.believer.beliefs
         return beliefs.surely_due(model.model, bounds.version, at, bounds.stable)
 
-    async def _take_out(self, model: EngineModel, due: int) -> None:
-        """Order out what an engine holds that is older than ``due``."""
-        async with asyncio.timeout(CALL_SECONDS):
+    async def _unload_older(self, model: EngineModel, due: int) -> None:
+        """Order the engine to unload weights that are older than ``due``."""
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
             state = await self.engine.state()
         if state.busy:
-            # It begins nothing until the order has ended, and then on what that loads.
+            # No request starts until the order ends, and then only on what it loads.
             return
         held = held_version(state, model)
         if held >= due:
-            self._none_older_than = due
+            self._unloaded_below = due
             return
         if held == 0:
-            self._next_look = self.process.clock() + EMPTY_LOOK_SECONDS
+            self._retry_at = self.process.clock() + RECHECK_DELAY_SECONDS
             return
-        async with asyncio.timeout(CALL_SECONDS):
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
             answer = await self.engine.unload(model.model, due, state.orders)
-        told = {"running": state.running, "waiting": state.waiting}
+        load_fields = {"running": state.running, "waiting": state.waiting}
         if answer is OrderAnswer.REFUSED:
-            self._next_look = self.process.clock() + EMPTY_LOOK_SECONDS
-            self.process.events.emit("retirement.failed", why="refused", **told)
+            self._retry_at = self.process.clock() + RECHECK_DELAY_SECONDS
+            self.process.events.emit("retirement.failed", why="refused", **load_fields)
             return
-        self.process.events.emit("weights.retired", version=held, due=due, **told)
-        self.tell(evolve(state, busy=True))
+        self.process.events.emit(
+            "weights.retired", version=held, due=due, **load_fields
+        )
+        self.send_report(evolve(state, busy=True))
--- a/packages/wasabideck_agent/wasabideck_agent/staging.py
+++ b/packages/wasabideck_agent/wasabideck_agent/staging.py
@@ -1,4 +1,4 @@
-"""Weights on their way into the engine beside an agent: staged, checked, loaded."""
+"""Stages and verifies weights for the engine beside an agent, and has them loaded."""
 
 from __future__ import annotations
 
@@ -17,109 +17,124 @@
 
 __all__ = ["Engine", "Staging", "held_version"]
 
-# A piece that turned bad where it lies may be loaded for three seconds after that. The
-# check takes 0.1 to 0.2 s, and grows old on a VM that is slow or stands still; the rest
-# of the time is for the order (seconds).
-CHECK_SECONDS = 2.0
-# A look at a piece that is no older serves for the check as well: after a restart all
-# pieces have just been read back, and reading them again takes 0.2 s (seconds).
-LOOK_SECONDS = 1.0
-# Checks before an order all the same: a VM that is always slower would never load.
-MOST_CHECKS = 3
+# A chunk that becomes corrupt in the staging area may be loaded for three seconds after
+# that. Verification takes 0.1 to 0.2 s, and its result ages on a VM that is slow or was
+# paused. The remaining time is for the order.
+MAX_CHECK_AGE_SECONDS = 2.0
+# Maximum age of a chunk's verification that is not repeated before the order. After a
+# restart all chunks have just been read back, and reading them again takes 0.2 s.
+REUSED_CHECK_AGE_SECONDS = 1.0
+# Number of verifications after which the order is sent anyway: a VM that is always too
+# slow would otherwise never load.
+MAX_CHECKS = 3
 
 
 class Engine(Protocol):
-    """The engine beside an agent."""
+    """The interface of the engine beside an agent."""
 
     async def state(self) -> EngineState:
-        """What it holds and does."""
+        """Return the engine's weights, load and progress."""
 
     async def stage(self, model: str, index: int, data: bytes) -> None:
-        """Put a piece where it will load it from."""
+        """Write a chunk to the staging area, from which the engine loads it."""
 
     async def staged(self, model: str) -> list[int]:
-        """Numbers of the pieces that lie there."""
+        """Return the indices of the staged chunks."""
 
     async def staged_piece(self, model: str, index: int) -> bytes | None:
-        """Bytes of a piece that lies there."""
+        """Return the bytes of a staged chunk, or None if it isn't staged."""
 
     async def load(
         self, model: str, version: int, queue: bool, accepted: int
     ) -> OrderAnswer:
-        """Load what lies there, unless it has accepted another order since."""
+        """Load the staged chunks, unless another order was accepted since."""
 
     async def unload(self, model: str, version: int, accepted: int) -> OrderAnswer:
-        """Begin nothing more on what it holds, and let go of it when what runs ends."""
+        """Start no more requests, and unload the weights when the running ones end."""
 
 
 @define
 class Staging:
-    """Brings verified chunks into the engine, and orders it to load them.
+    """Stages verified chunks in the engine, and has them verified and repaired there.
 
     Attributes
     ----------
     boot_clock : callable
-        Seconds, those counted in which the VM stood still.
-    placed : set of int
-        Pieces of the present manifest that this agent has put there.
+        Returns seconds, including those during which the VM was paused.
+    staged_indices : set of int
+        Indices of the current manifest's chunks that this agent has staged.
     """
 
     engine: Engine
     store: ChunkStore
     events: Events
     boot_clock: Callable[[], float] = partial(time.clock_gettime, time.CLOCK_BOOTTIME)
-    placed: set[int] = field(factory=set)
-    _manifest: str = ""
-    _seen_good: dict[int, float] = field(factory=dict)
+    staged_indices: set[int] = field(factory=set)
+    _manifest_digest: str = ""
+    _verified_at: dict[int, float] = field(factory=dict)
 
-    async def place(self, manifest: Manifest) -> None:
-        """Put there what is held and was not put there yet."""
-        self._begin(manifest)
+    async def stage_stored(self, manifest: Manifest) -> None:
+        """Stage the stored chunks that are not staged yet."""
+        self._switch_to(manifest)
         for index, digest in enumerate(manifest.chunks):
             data = self.store.get(digest)
-            if data is not None and index not in self.placed:
+            if data is not None and index not in self.staged_indices:
                 await self.engine.stage(manifest.model, index, data)
-                self.placed.add(index)
+                self.staged_indices.add(index)
 
-    async def check(self, manifest: Manifest) -> EngineState:
-        """Mend what lies there, so lately that it may be loaded; the state after."""
-        for _ in range(MOST_CHECKS):
-            await self.mend(manifest)
+    async def verify(self, manifest: Manifest) -> EngineState:
+        """Repair staged chunks until their verification is recent.
+
+        Returns
+        -------
+        state : EngineState
+            The engine's state after the last verification.
+        """
+        for _ in range(MAX_CHECKS):
+            await self.repair(manifest)
             state = await self.engine.state()
-            if self.boot_clock() - min(self._seen_good.values()) <= CHECK_SECONDS:
+            if (
+                self.boot_clock() - min(self._verified_at.values())
+                <= MAX_CHECK_AGE_SECONDS
+            ):
                 break
         return state
 
-    async def mend(self, manifest: Manifest) -> int:
-        """Check what lies there against its digests, and put wrong pieces anew.
+    async def repair(self, manifest: Manifest) -> int:
+        """Verify staged chunks against their digests, and replace the wrong ones.
 
-        Pieces can turn bad where they lie: the engine takes them as they are, and
-        only this look, just before the order, keeps a spoilt one out.
+        Staged chunks can become corrupt. The engine loads them unverified, so only this
+        check, just before the order, keeps a corrupt chunk out.
 
         Returns
         -------
-        mended : int
-            Pieces that were wrong or missing.
+        repaired : int
+            Number of chunks that were wrong or missing.
         """
-        self._begin(manifest)
-        mended = 0
+        self._switch_to(manifest)
+        repaired = 0
         for index, digest in enumerate(manifest.chunks):
             now = self.boot_clock()
-            if now - self._seen_good.get(index, float("-inf")) <= LOOK_SECONDS:
+            if (
+                now - self._verified_at.get(index, float("-inf"))
+                <= REUSED_CHECK_AGE_SECONDS
+            ):
                 continue
-            lying = await self.engine.staged_piece(manifest.model, index)
-            self._seen_good[index] = now
-            if not _good(lying, digest):
-                mended += 1
+            staged = await self.engine.staged_piece(manifest.model, index)
+            self._verified_at[index] = now
+            if not _intact(staged, digest):
+                repaired += 1
                 await self.engine.stage(manifest.model, index, self.store.get(digest))
-        if mended:
-            self.events.emit("staging.mended", version=manifest.version, pieces=mended)
-        return mended
-
-    async def take_up(self, manifest: Manifest) -> int:
-        """Take good pieces that lie there already into the store; how many."""
-        self._begin(manifest)
-        taken = 0
+        if repaired:
+            self.events.emit(
+                "staging.mended", version=manifest.version, pieces=repaired
+            )
+        return repaired
+
+    async def store_staged(self, manifest: Manifest) -> int:
+        """Store intact chunks that are staged already, and return their number."""
+        self._switch_to(manifest)
+        stored = 0
         for index in await self.engine.staged(manifest.model):
             if not 0 <= index < len(manifest.chunks):
                 continue
@@ -127,26 +142,26 @@
             if self.store.get(digest) is not None:
                 continue
             now = self.boot_clock()
-            lying = await self.engine.staged_piece(manifest.model, index)
-            if _good(lying, digest):
-                self._seen_good[index] = now
-                self.store.add(digest, lying, "staged")
-                self.placed.add(index)
-                taken += 1
-        return taken
-
-    def forget(self) -> None:
-        """Forget what was placed: the engine may have lost it."""
-        self.placed.clear()
-        self._seen_good.clear()
-
-    def _begin(self, manifest: Manifest) -> None:
-        if manifest.digest != self._manifest:
-            self._manifest = manifest.digest
-            self.forget()
-
-
-def _good(data: bytes | None, digest: str) -> bool:
+            staged = await self.engine.staged_piece(manifest.model, index)
+            if _intact(staged, digest):
+                self._verified_at[index] = now
+                self.store.add(digest, staged, "staged")
+                self.staged_indices.add(index)
+                stored += 1
+        return stored
+
+    def reset(self) -> None:
+        """Discard what is known of staged chunks: the engine may have lost them."""
+        self.staged_indices.clear()
+        self._verified_at.clear()
+
+    def _switch_to(self, manifest: Manifest) -> None:
+        if manifest.digest != self._manifest_digest:
+            self._manifest_digest = manifest.digest
+            self.reset()
+
+
+def _intact(data: bytes | None, digest: str) -> bool:
     if data is None:
         return False
     try:
@@ -157,10 +172,10 @@
 
 
 def held_version(state: EngineState, model: EngineModel) -> int:
-    """Version of which an engine holds all layers; 0 for none."""
-    whole = [
+    """Return the version of which an engine holds all layers, or 0 for none."""
+    complete = [
         part.version
         for part in state.loaded
         if part.first == 0 and part.last >= model.layers
     ]
-    return max(whole, default=0)
+    return max(complete, default=0)
--- a/packages/wasabideck_agent/wasabideck_agent/transfer.py
+++ b/packages/wasabideck_agent/wasabideck_agent/transfer.py
@@ -1,4 +1,4 @@
-"""Fetches one manifest's chunks from peers and from the origin."""
+"""Fetches the chunks of one manifest from peers and from the origin."""
 
 from __future__ import annotations
 
@@ -45,37 +45,38 @@
 from .peer_calls import PeerCalls
 
 if TYPE_CHECKING:
-    # Its client library is a fifth of an agent's start, and not used on every platform.
+    # The client library of Origin takes a fifth of an agent's startup time, and is not
+    # used on every platform.
     from wasabideck_base.weights import Origin
 
 __all__ = ["Transfer", "limits_of"]
 
 # A fetch waits behind a few others at its sender; one that takes this many slots has
-# stalled. The floor keeps small chunks on fast links from being given up early.
-FETCH_SLOTS = 24.0
-FETCH_FLOOR_SECONDS = 3.0
+# stalled. The minimum keeps small chunks on fast links from being cancelled early.
+FETCH_TIMEOUT_SLOTS = 24.0
+MIN_FETCH_TIMEOUT_SECONDS = 3.0
 MIN_SLOT_SECONDS = 0.02
-MAX_ASK_SECONDS = 1.0
+MAX_POLL_SLOT_SECONDS = 1.0
 STARVING_SLOTS = 4.0
-PATIENCE_SLOTS = 16.0
-PATIENCE_FLOOR_SECONDS = 2.0
-# With this profile the origin's bytes weigh more than time.
-PATIENT_PROFILE = "origin-bytes"
-PATIENT_FACTOR = 4.0
+ORIGIN_TIMEOUT_SLOTS = 16.0
+MIN_ORIGIN_TIMEOUT_SECONDS = 2.0
+# With this profile bytes read from the origin cost more than time.
+ORIGIN_BYTES_PROFILE = "origin-bytes"
+ORIGIN_BYTES_TIMEOUT_FACTOR = 4.0
 ORIGIN_NAME = "origin"
 
 
 class _Refused(WasabideckError):
-    """A peer does not send the chunk now."""
+    """A peer refused to send the chunk now."""
 
 
 def limits_of(cfg: WeightsSettings, chunk_bytes: int, spare: int = 0) -> Limits:
-    """A transfer's limits, worked out from the settings."""
+    """Return a transfer's limits, derived from the settings."""
     slot = chunk_bytes / cfg.link_rate if cfg.link_rate else 0.0
     slot = max(slot, MIN_SLOT_SECONDS)
-    patience = max(PATIENCE_SLOTS * slot, PATIENCE_FLOOR_SECONDS)
-    if cfg.profile == PATIENT_PROFILE:
-        patience *= PATIENT_FACTOR
+    patience = max(ORIGIN_TIMEOUT_SLOTS * slot, MIN_ORIGIN_TIMEOUT_SECONDS)
+    if cfg.profile == ORIGIN_BYTES_PROFILE:
+        patience *= ORIGIN_BYTES_TIMEOUT_FACTOR
     return Limits(
         cfg.fetches,
         cfg.far_fetches,
@@ -93,15 +94,15 @@
     Attributes
     ----------
     me : Member
-        This agent's VM and place.
+        This agent's VM, region and data centre.
     peers_of : callable
-        The agents that want or hold the same manifest, this one left out.
+        Returns the other agents that want or hold the same manifest.
     sources : dict of str to int
         Bytes received per source.
-    refusals, asks : int
-        Fetches that a peer refused, and questions asked for holdings.
-    begun, read_at : float
-        When it began, and when it last read a chunk from the origin, seconds.
+    refusals, polls : int
+        Numbers of fetches that peers refused, and of polls for holdings.
+    started_at, origin_read_at : float
+        Times at which the transfer started, and last read a chunk from the origin.
     """
 
     me: Member
@@ -118,9 +119,9 @@
     clock: Callable[[], float] = time.monotonic
     sources: dict[str, int] = field(factory=dict)
     refusals: int = 0
-    asks: int = 0
-    begun: float = 0.0
-    read_at: float = 0.0
+    polls: int = 0
+    started_at: float = 0.0
+    origin_read_at: float = 0.0
     view: View = field(init=False)
     window: FetchWindow = field(init=False)
     _digest: str = field(init=False)
@@ -128,11 +129,11 @@
     _addresses: dict[str, str] = field(factory=dict)
     _tasks: set[asyncio.Task] = field(factory=set)
     _reads: dict[int, asyncio.Task] = field(factory=dict)
-    _fed_by: dict[str, float] = field(factory=dict)
-    _news: asyncio.Event = field(factory=asyncio.Event)
+    _received_at: dict[str, float] = field(factory=dict)
+    _changed: asyncio.Event = field(factory=asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        """Begin with what the store holds."""
+        """Initialise the view with the chunks that the store holds."""
         self._digest = self.manifest.digest
         self.view = View(
             self.me.vm,
@@ -141,33 +142,33 @@
             self.me.region,
             self.me.data_centre,
             self.cfg.origin_region,
-            limits_of(self.cfg, self.manifest.chunk_bytes, self._spare()),
+            limits_of(self.cfg, self.manifest.chunk_bytes, self._spare_chunks()),
             held=self.store.held(self.manifest),
         )
         limits = self.view.limits
-        most = limits.near + limits.far + limits.reads
-        self.window = FetchWindow(most, limits.slot)
-        self.view.fed_at = self.begun = self.read_at = self.view.begun
+        max_fetches = limits.near + limits.far + limits.reads
+        self.window = FetchWindow(max_fetches, limits.slot)
+        self.view.fed_at = self.started_at = self.origin_read_at = self.view.begun
 
-    def _spare(self) -> int:
-        """Chunks beyond the first copy that this agent may read from the origin."""
+    def _spare_chunks(self) -> int:
+        """Return how many chunks beyond the first copy may be read from the origin."""
         chunks = self.cfg.spare_copies * len(self.manifest.chunks)
         return round(chunks / (len(self.peers_of()) + 1))
 
     async def run(self) -> None:
         """Fetch until every chunk is held and verified."""
-        self.service.listeners[self._digest] = self._heard
-        self._follow_members()
-        asking = asyncio.create_task(self._keep_asking())
+        self.service.listeners[self._digest] = self._record_holdings
+        self._update_members()
+        polling = asyncio.create_task(self._poll_holdings())
         try:
             while not self.store.whole(self.manifest):
-                if asking.done():
-                    asking.result()
+                if polling.done():
+                    polling.result()
                 self._start_fetches()
                 await self._wait()
         finally:
             del self.service.listeners[self._digest]
-            tasks = [asking, *self._tasks]
+            tasks = [polling, *self._tasks]
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -176,23 +177,24 @@
                 "transfer.ended",
                 manifest=self._digest,
                 refusals=self.refusals,
-                asks=self.asks,
-                seconds=round(self.clock() - self.begun, 3),
-                origin_seconds=round(self.read_at - self.begun, 3),
+                asks=self.polls,
+                seconds=round(self.clock() - self.started_at, 3),
+                origin_seconds=round(self.origin_read_at - self.started_at, 3),
             )
 
-    def still_for(self) -> float:
-        """Seconds for which no chunk has come."""
-        return self.clock() - max(self.view.fed_at, self.begun)
+    def seconds_without_progress(self) -> float:
+        """Return the seconds since a chunk was last received."""
+        return self.clock() - max(self.view.fed_at, self.started_at)
 
     async def _wait(self) -> None:
-        """Wait for news, or for a set-back peer to be worth another try."""
-        self._news.clear()
-        # wait_for loses a cancel that comes together with the news: a superseded
-        # transfer would go on. A timeout's scope counts cancels and loses none.
+        """Wait for a change, or until a peer that was backed off may be retried."""
+        self._changed.clear()
+        # wait_for loses a cancellation that arrives together with the event, and a
+        # superseded transfer would continue. The scope of asyncio.timeout counts
+        # cancellations and loses none.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.view.limits.slot):
-                await self._news.wait()
+                await self._changed.wait()
 
     def _start_fetches(self) -> None:
         policy = POLICIES[self.cfg.policy]
@@ -200,32 +202,33 @@
             fetch = policy.fetch(self.view, self.clock(), self.rng)
             if fetch is None:
                 return
-            self._begin(fetch)
+            self._mark_started(fetch)
             task = asyncio.create_task(self._fetch(fetch))
             self._tasks.add(task)
-            # Not at the end of the task's own body: one that is cancelled before its
-            # first step never gets there, and its chunk would count as under way.
-            task.add_done_callback(partial(self._end, fetch))
+            # This is not done at the end of the task's own body: a task that is
+            # cancelled before its first step never gets there, and its chunk would stay
+            # marked as in flight.
+            task.add_done_callback(partial(self._mark_ended, fetch))
             if fetch.source == ORIGIN and not fetch.spare:
                 self._reads[fetch.index] = task
 
-    def _begin(self, fetch: Fetch) -> None:
+    def _mark_started(self, fetch: Fetch) -> None:
         begin(self.view, fetch)
         if fetch.far or fetch.source == ORIGIN:
             self.service.reading[self._digest] |= 1 << fetch.index
 
-    def _end(self, fetch: Fetch, task: asyncio.Task) -> None:
+    def _mark_ended(self, fetch: Fetch, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if fetch.source == ORIGIN and not fetch.spare:
             del self._reads[fetch.index]
         end(self.view, fetch)
         if fetch.far or fetch.source == ORIGIN:
             self.service.reading[self._digest] &= ~(1 << fetch.index)
-        self._news.set()
+        self._changed.set()
 
     async def _fetch(self, fetch: Fetch) -> None:
         digest = self.manifest.chunks[fetch.index]
-        begun = self.clock()
+        started = self.clock()
         try:
             data = await self._read(fetch, digest)
             self.store.add(digest, data, fetch.source)
@@ -236,17 +239,17 @@
             self.refusals += 1
             refused(self.view, fetch, self.clock(), self.rng)
         except LINK_FAILURES:
-            self._lose(fetch.source)
+            self._mark_lost(fetch.source)
         except (PlatformUnavailable, PlatformRefused):
             origin_failed(self.view, self.clock())
         else:
-            self.window.took(self.clock() - begun)
-            self._got(fetch, len(data))
+            self.window.took(self.clock() - started)
+            self._record_received(fetch, len(data))
 
-    def _got(self, fetch: Fetch, size: int) -> None:
+    def _record_received(self, fetch: Fetch, size: int) -> None:
         got(self.view, fetch, self.clock())
         if fetch.source == ORIGIN:
-            self.read_at = self.clock()
+            self.origin_read_at = self.clock()
         source = fetch.source or ORIGIN_NAME
         self.sources[source] = self.sources.get(source, 0) + size
 
@@ -257,9 +260,9 @@
             try:
                 return await self._read_peer(fetch)
             except _Refused:
-                # Nothing came over the region's link for the turn that was waited for.
+                # The reserved transmission time on the region's link was not used.
                 if fetch.far:
-                    self.links.region.give_back(self.manifest.chunk_bytes)
+                    self.links.region.release(self.manifest.chunk_bytes)
                 raise
         data = await self.origin.chunk(digest, self.me.vm)
         await self.links.down.receive(len(data))
@@ -275,46 +278,50 @@
             have=to_bitmap(view.held),
             urgent=starving or not POLICIES[self.cfg.policy].shares,
         )
-        limit = max(FETCH_SLOTS * view.limits.slot, FETCH_FLOOR_SECONDS)
+        timeout = max(FETCH_TIMEOUT_SLOTS * view.limits.slot, MIN_FETCH_TIMEOUT_SECONDS)
         parts: list[bytes] = []
-        async with contextlib.aclosing(self.calls.fetch(address, req, limit)) as coming:
-            async for part in coming:
+        async with contextlib.aclosing(
+            self.calls.fetch(address, req, timeout)
+        ) as stream:
+            async for part in stream:
                 if part.holdings or part.refused:
-                    self._heard(fetch.source, from_bitmap(part.holdings), part.sent)
+                    self._record_holdings(
+                        fetch.source, from_bitmap(part.holdings), part.sent
+                    )
                 if part.refused:
                     raise _Refused(fetch.source)
-                self._fed_by[fetch.source] = self.clock()
+                self._received_at[fetch.source] = self.clock()
                 await self.links.down.receive(len(part.data))
                 parts.append(part.data)
         return b"".join(parts)
 
-    async def _keep_asking(self) -> None:
-        """Ask a few peers for their holdings, now and then, or soon when starving."""
-        slot = min(self.view.limits.slot, MAX_ASK_SECONDS)
+    async def _poll_holdings(self) -> None:
+        """Poll a few peers for their holdings, more often while nothing is fetched."""
+        slot = min(self.view.limits.slot, MAX_POLL_SLOT_SECONDS)
         while True:
-            self._follow_members()
+            self._update_members()
             policy = POLICIES[self.cfg.policy]
             vms = policy.ask(self.view, self.clock(), self.rng)
-            await asyncio.gather(*(self._ask(vm) for vm in vms))
-            fed = self.cfg.ask_slots * slot
-            await asyncio.sleep(fed if self.view.active else slot / 2)
+            await asyncio.gather(*(self._poll_peer(vm) for vm in vms))
+            interval = self.cfg.ask_slots * slot
+            await asyncio.sleep(interval if self.view.active else slot / 2)
 
-    def _follow_members(self) -> None:
+    def _update_members(self) -> None:
         members = self.peers_of()
         if members == self._members and self.view.owners.ranks:
             return
         self._members = members
         self._addresses = {member.vm: member.address for member in members}
         set_members(self.view, self._digest, members)
-        near = [m.vm for m in members if m.region == self.me.region]
+        local = [m.vm for m in members if m.region == self.me.region]
         if POLICIES[self.cfg.policy].shares:
-            sharing = len(gateways(self._digest, self.me.region, [self.me.vm, *near]))
+            sharers = len(gateways(self._digest, self.me.region, [self.me.vm, *local]))
         else:
-            sharing = 1 + len(near)
-        self.links.region.rate = self.cfg.region_rate / sharing
+            sharers = 1 + len(local)
+        self.links.region.rate = self.cfg.region_rate / sharers
 
-    async def _ask(self, vm: str) -> None:
-        self.asks += 1
+    async def _poll_peer(self, vm: str) -> None:
+        self.polls += 1
         address = self._address(vm)
         req = pb.HoldingsRequest(
             manifest=self._digest, vm=self.me.vm, have=to_bitmap(self.view.held)
@@ -322,35 +329,36 @@
         try:
             reply = await self.calls.holdings(address, req, self.cfg.call_seconds)
         except LINK_FAILURES:
-            # Behind a full link words are late, too. While parts of chunks come, the
-            # peer lives, and closing the connection would throw them away.
-            fed_at = self._fed_by.get(vm, float("-inf"))
-            if self.clock() - fed_at > self.cfg.call_seconds:
-                self._lose(vm)
+            # Messages are delayed behind a full link, too. While parts of chunks arrive
+            # the peer is alive, and closing the connection would discard them.
+            received_at = self._received_at.get(vm, float("-inf"))
+            if self.clock() - received_at > self.cfg.call_seconds:
+                self._mark_lost(vm)
             return
         held, reading = from_bitmap(reply.bitmap), from_bitmap(reply.reading)
-        self._heard(vm, held, reply.sent, reading)
+        self._record_holdings(vm, held, reply.sent, reading)
 
     def _address(self, vm: str) -> str:
-        """Address of a peer; raises ``ConnectionRefusedError`` when it is gone."""
+        """Return a peer's address; raise ``ConnectionRefusedError`` if it is lost."""
         if address := self._addresses.get(vm):
             return address
         raise ConnectionRefusedError(vm)
 
-    def _heard(
+    def _record_holdings(
         self, vm: str, held: int, sent: int = 0, reading: int | None = None
     ) -> None:
         hear(self.view, vm, held, self.clock(), sent, reading)
-        self._give_up_reads()
-        # A view that is full of fetches cannot use the news; each wake-up costs.
+        self._cancel_redundant_reads()
+        # A transfer with the maximum number of fetches cannot use the information, and
+        # each wake-up costs processor time.
         if held & self.view.wanted and self.view.active.bit_count() < self.cfg.fetches:
-            self._news.set()
+            self._changed.set()
 
-    def _give_up_reads(self) -> None:
-        """Stop reading from the origin what a peer has by now.
+    def _cancel_redundant_reads(self) -> None:
+        """Cancel reads from the origin of chunks that a peer holds by now.
 
-        A read can stall for as long as its timeout, which has to allow for a queue
-        at the origin; by then another may have read the chunk in this VM's place.
+        A read can stall for as long as its timeout, which has to allow for a queue at
+        the origin. By then another VM may have read the chunk instead of this one.
         """
         if not POLICIES[self.cfg.policy].shares:
             return
@@ -358,8 +366,8 @@
             if self.view.seen >> index & 1:
                 task.cancel()
 
-    def _lose(self, vm: str) -> None:
-        """Take a peer for lost, and the connection to it for silent."""
+    def _mark_lost(self, vm: str) -> None:
+        """Mark a peer as lost, and drop the connection to it as unresponsive."""
         lose(self.view, vm, self.clock())
         if address := self._addresses.get(vm):
             self.calls.drop(address)
--- a/packages/wasabideck_agent/wasabideck_agent/version_choice.py
+++ b/packages/wasabideck_agent/wasabideck_agent/version_choice.py
@@ -1,4 +1,4 @@
-"""Which of several named versions an agent fetches, and when it turns to another."""
+"""Selects which of several declared versions an agent fetches."""
 
 from __future__ import annotations
 
@@ -17,36 +17,37 @@
 
 __all__ = ["VersionChoice"]
 
-# With nothing of the newest version for so long an older one that is on its way goes on
-# (seconds): chunks come every 0.1 s, and an origin that is back is read at once.
-STALL_SECONDS = 1.0
-# An older version is fetched on while it could serve at least so long (seconds).
-WORTH_SECONDS = 2.5
+# When no chunk of the newest version arrives for this long, the transfer of an older
+# one continues. Chunks arrive every 0.1 s, and an origin is read as soon as it
+# recovers.
+STALL_TIMEOUT_SECONDS = 1.0
+# An older version is fetched only while it could still serve for this long.
+MIN_SERVING_SECONDS = 2.5
 
 
 @define
 class VersionChoice:
-    """Chooses among versions that were named one soon after the other."""
+    """Selects among versions that were declared in short succession."""
 
     process: NodeProcess
     manifests: NumberedManifests
-    _begun_at: dict[int, float] = field(factory=dict)
+    _started_at: dict[int, float] = field(factory=dict)
     _finishing: set[int] = field(factory=set)
     _stalled_until: float = float("-inf")
-    _finding: asyncio.Task | None = None
+    _search: asyncio.Task | None = None
 
-    def begin(self, version: int) -> None:
-        """Note that a version's transfer begins."""
-        self._begun_at[version] = self.process.clock()
+    def record_start(self, version: int) -> None:
+        """Record the start of a version's transfer."""
+        self._started_at[version] = self.process.clock()
 
-    def goes_on(
+    def continues_fetching(
         self, model: EngineModel, manifest: Manifest, missing: int, newest: int
     ) -> bool:
-        """Whether a version that a newer one has overtaken is fetched on."""
+        """Whether the transfer of a version superseded by a newer one continues."""
         version = int(manifest.version)
-        if version in self._finishing or not self._can_be_had(model, newest):
+        if version in self._finishing or not self._is_available(model, newest):
             return True
-        if self._finishes(manifest, missing):
+        if self._worth_finishing(manifest, missing):
             self._finishing.add(version)
             return True
         self.process.events.emit(
@@ -54,13 +55,16 @@
         )
         return False
 
-    async def wanted(self, model: EngineModel, held: int, newest: int) -> Manifest:
-        """Manifest of the version to fetch now: the newest, if it can be had.
+    async def manifest_to_fetch(
+        self, model: EngineModel, held: int, newest: int
+    ) -> Manifest:
+        """Return the manifest of the version to fetch: the newest if it is available.
 
-        While the origin is away nothing of the newest may be had for seconds. An older
-        version that is on its way then ends the time without weights that may serve.
+        While the origin is unreachable no chunk of the newest version may be available
+        for seconds. Completing an older version that is in transfer then ends the time
+        without weights that may serve.
         """
-        older = self._older(model, held, newest)
+        older = self._older_version(model, held, newest)
         if older is not None and self.process.clock() < self._stalled_until:
             return older
         try:
@@ -76,8 +80,10 @@
             )
             return older
 
-    def _older(self, model: EngineModel, held: int, newest: int) -> Manifest | None:
-        """A version between the held and the newest that is still worth fetching."""
+    def _older_version(
+        self, model: EngineModel, held: int, newest: int
+    ) -> Manifest | None:
+        """Return a version between the held and the newest that is worth fetching."""
         beliefs, now = self.process.believer.beliefs, self.process.clock()
         within = self.process.cfg.bounds.version
         for version in reversed(beliefs.versions(model.model)):
@@ -85,44 +91,44 @@
             if not held < version < newest or manifest is None:
                 continue
             over_at = beliefs.over_at(model.model, version, within)
-            if over_at is not None and over_at - now >= WORTH_SECONDS:
+            if over_at is not None and over_at - now >= MIN_SERVING_SECONDS:
                 return manifest
         return None
 
-    def _can_be_had(self, model: EngineModel, newest: int) -> bool:
-        """Whether a newer version's manifest is here; looks for it if it is not."""
+    def _is_available(self, model: EngineModel, newest: int) -> bool:
+        """Whether a newer version's manifest is known; starts a search if it isn't."""
         if self.process.clock() < self._stalled_until:
             return False
         if self.manifests.known(newest) is not None:
             return True
-        if self._finding is None or self._finding.done():
-            self._finding = asyncio.create_task(self._find(model, newest))
+        if self._search is None or self._search.done():
+            self._search = asyncio.create_task(self._find_manifest(model, newest))
         return False
 
-    async def _find(self, model: EngineModel, version: int) -> None:
+    async def _find_manifest(self, model: EngineModel, version: int) -> None:
         with contextlib.suppress(WasabideckError):
             await self.manifests.find(model.model, version)
 
-    def stalls(
+    def is_stalled(
         self, model: EngineModel, held: int, version: int, transfer: Transfer
     ) -> bool:
-        """Whether the newest version stands still while an older one could go on."""
-        if transfer.still_for() < STALL_SECONDS:
+        """Whether the newest version makes no progress while an older one could."""
+        if transfer.seconds_without_progress() < STALL_TIMEOUT_SECONDS:
             return False
-        if self._older(model, held, version) is None:
+        if self._older_version(model, held, version) is None:
             return False
-        self._stalled_until = self.process.clock() + STALL_SECONDS
+        self._stalled_until = self.process.clock() + STALL_TIMEOUT_SECONDS
         missing = transfer.view.missing
         self.process.events.emit("transfer.stalled", version=version, missing=missing)
         return True
 
-    def _finishes(self, manifest: Manifest, missing: int) -> bool:
-        """Whether an overtaken version is finished here all the same."""
+    def _worth_finishing(self, manifest: Manifest, missing: int) -> bool:
+        """Whether the transfer of a superseded version is completed nevertheless."""
         cfg = self.process.cfg
         chunks = len(manifest.chunks)
         return finishes_older(
             missing / chunks,
-            self.process.clock() - self._begun_at[int(manifest.version)],
+            self.process.clock() - self._started_at[int(manifest.version)],
             chunks * manifest.chunk_bytes / max(cfg.link_rate, 1.0),
             cfg.bounds.version,
         )
--- a/tests/adapter/agent_fakes.py
+++ b/tests/adapter/agent_fakes.py
@@ -1,4 +1,4 @@
-"""An agent beside an engine, an origin and a store that tests hold."""
+"""Builds an agent beside an engine, an origin and a store that tests control."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 from wasabideck_agent.delivery_book import DeliveryBook
 from wasabideck_agent.links import Link, Links
 from wasabideck_agent.listed_peers import ListedPeers
-from wasabideck_agent.node_agent import NodeAgent
+from wasabideck_agent.node_agent import EngineAgent
 from wasabideck_agent.peer_calls import grpc_calls
 from wasabideck_agent.staging import Staging
 from wasabideck_base.channels import Channels
@@ -37,7 +37,7 @@
 )
 
 
-def piece(version, index):
+def chunk_bytes(version, index):
     return b"v%d-%05d" % (version, index)
 
 
@@ -46,45 +46,47 @@
 
 
 class FakeOrigin:
-    """Knows every version; may be down, or send a wrong piece now and then."""
+    """Serves every version; can be down, lack versions, or send corrupt chunks once."""
 
     def __init__(self):
-        self.reads, self.down, self.wrong = [], False, set()
-        self.lacks = set()
+        self.reads, self.down, self.corrupt_chunks = [], False, set()
+        self.missing_versions = set()
 
     async def manifest(self, model, version):
-        if self.down or version in self.lacks:
+        if self.down or version in self.missing_versions:
             raise PlatformUnavailable("origin", "down", False)
-        digests = tuple(digest(piece(version, i)) for i in range(CHUNKS))
+        digests = tuple(digest(chunk_bytes(version, i)) for i in range(CHUNKS))
         return Manifest(model, str(version), 8, 8 * CHUNKS, digests)
 
     async def piece(self, model, version, index):
         self.reads.append((version, index))
-        if self.down or version in self.lacks:
+        if self.down or version in self.missing_versions:
             raise PlatformUnavailable("origin", "down", False)
-        if (version, index) in self.wrong:
-            self.wrong.discard((version, index))
+        if (version, index) in self.corrupt_chunks:
+            self.corrupt_chunks.discard((version, index))
             return b"spoilt!!"
-        return piece(version, index)
+        return chunk_bytes(version, index)
 
 
 class FakeEngine:
-    """Loads what lies staged, as it lies, some looks after it was ordered to."""
+    """Loads the staged chunks without verification, some polls after the order."""
 
     def __init__(self):
-        self.lying, self.loaded, self.orders, self.tried = {}, (), [], []
-        self.loading, self.looks, self.born = None, 0, 1
-        self.asked = self.checked = 0
-        self.waiting, self.running, self.refused, self.begun = 0, 0, 0, []
+        self.chunks, self.loaded, self.orders, self.load_calls = {}, (), [], []
+        self.loading, self.polls_left, self.born = None, 0, 1
+        self.state_calls = self.chunk_reads = 0
+        self.waiting, self.running, self.refused, self.started_on = 0, 0, 0, []
 
     async def state(self):
-        self.asked += 1
+        self.state_calls += 1
         if self.loading:
-            self.looks -= 1
-            if self.looks <= 0:
-                version, pieces = self.loading
-                good = all(pieces.get(i) == piece(version, i) for i in range(CHUNKS))
-                assert good, "loaded a piece that was missing, spoilt or of another one"
+            self.polls_left -= 1
+            if self.polls_left <= 0:
+                version, chunks = self.loading
+                good = all(
+                    chunks.get(i) == chunk_bytes(version, i) for i in range(CHUNKS)
+                )
+                assert good, "loaded a chunk that was missing, corrupt or of another"
                 self.loaded, self.loading = (Loaded("m", version, 0, 4),), None
         return EngineState(
             self.loaded,
@@ -96,21 +98,21 @@
         )
 
     async def stage(self, model, index, data):
-        self.lying[index] = data
+        self.chunks[index] = data
 
     async def staged(self, model):
-        return sorted(self.lying)
+        return sorted(self.chunks)
 
     async def staged_piece(self, model, index):
-        self.checked += 1
-        return self.lying.get(index)
+        self.chunk_reads += 1
+        return self.chunks.get(index)
 
     async def load(self, model, version, queue, accepted):
-        self.tried.append(version)
+        self.load_calls.append(version)
         if self.loading or accepted != len(self.orders):
             return OrderAnswer.REFUSED
         self.orders.append(version)
-        self.loading, self.looks = (version, dict(self.lying)), 3
+        self.loading, self.polls_left = (version, dict(self.chunks)), 3
         return OrderAnswer.BEGUN
 
     async def unload(self, model, version, accepted):
@@ -121,10 +123,10 @@
         self.refused, self.waiting = self.refused + self.waiting, 0
         return OrderAnswer.BEGUN
 
-    def has_place(self):
-        """Begin what waits, on whatever weights are there."""
+    def start_waiting(self):
+        """Start the waiting requests on the weights that are loaded."""
         if self.loaded and not self.loading:
-            self.begun += [self.loaded[0].version] * self.waiting
+            self.started_on += [self.loaded[0].version] * self.waiting
             self.waiting = 0
 
 
@@ -180,7 +182,7 @@
         servers="servers",
         listed_of=lambda row: Listed(row.key, "s", f"{row.key}:1", "dc"),
     )
-    made = NodeAgent(
+    made = EngineAgent(
         process,
         deployment,
         engine,
@@ -198,8 +200,8 @@
     return made
 
 
-def steps(agent, until):
-    """Take steps until a condition holds; time passes a second a step."""
+def step_until(agent, until):
+    """Take steps until a condition holds; each advances the time by a second."""
 
     async def run():
         async with asyncio.timeout(20):
@@ -210,14 +212,14 @@
     asyncio.run(run())
 
 
-def steps_on(agent, until):
-    """Take steps, as the agent does, also when the origin does not answer."""
+def step_until_through_outages(agent, until):
+    """Take steps like the agent's main loop, also while the origin is unreachable."""
 
     async def run():
         async with asyncio.timeout(20):
             while not until():
                 agent.process.time[0] += 0.2
-                # A step that fetches what nobody has would never end.
+                # A step that fetches chunks that nobody has would never end.
                 with contextlib.suppress(PlatformUnavailable, TimeoutError):
                     async with asyncio.timeout(2.5):
                         await agent.step()
--- a/tests/adapter/test_manifests.py
+++ b/tests/adapter/test_manifests.py
@@ -1,4 +1,4 @@
-"""An agent that the origin turns away gets a version's manifest from its peers."""
+"""An agent that the origin refuses gets a version's manifest from its peers."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -6,7 +6,7 @@
 import pytest
 from agent_fakes import CHUNKS, FakeEngine, FakeOrigin, FakeStore, digest, new_agent
 from attrs import evolve
-from wasabideck_agent.numbered_manifests import READERS
+from wasabideck_agent.numbered_manifests import READERS_PER_REGION
 from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_base.http_pool import HttpPool, PooledClient
 from wasabideck_base.inner_limits import InnerServer
@@ -23,20 +23,20 @@
 from wasabideck_policy.rendezvous import rank
 
 
-class SpoiltOrigin(FakeOrigin):
-    """Names a wrong digest in its manifests, for as long as it is spoilt."""
+class CorruptOrigin(FakeOrigin):
+    """Lists a wrong digest in its manifests, while it is marked as corrupt."""
 
-    spoilt = True
+    corrupt = True
 
     async def manifest(self, model, version):
         good = await super().manifest(model, version)
-        if not self.spoilt:
+        if not self.corrupt:
             return good
         return evolve(good, chunks=(digest(b"wrong"), *good.chunks[1:]))
 
 
-class RefusingEngine(FakeEngine):
-    """Stays empty: its agent holds a manifest, and chunks, but orders nothing."""
+class BusyEngine(FakeEngine):
+    """Stays empty and busy: its agent holds a manifest and chunks, but no order."""
 
     async def state(self):
         return EngineState((), True, born=self.born)
@@ -53,8 +53,8 @@
 
 
 @asynccontextmanager
-async def reached(**agents):
-    """Give each agent's chunks to the others, and each the others as its members."""
+async def connected(**agents):
+    """Start each agent's chunk server, and make all agents members of each other."""
     members, servers = {}, []
     for name, agent in agents.items():
         server = InnerServer([agent.chunks])
@@ -75,13 +75,13 @@
             await server.wait_closed()
 
 
-def listen(agent):
-    told = []
-    agent.events.listeners.append(lambda kind, fields: told.append(kind))
-    return told
+def record_events(agent):
+    kinds = []
+    agent.events.listeners.append(lambda kind, fields: kinds.append(kind))
+    return kinds
 
 
-async def know(agent, version=1):
+async def get_manifest(agent, version=1):
     return await agent.manifests.get("m", version)
 
 
@@ -92,98 +92,98 @@
             await agent.step()
 
 
-def test_an_agent_that_the_origin_turns_away_gets_the_manifest_from_a_peer():
-    # All power is lost, and the origin's connections from before stay taken. The
-    # agents that come in first keep the rest; 13 of 42 asked three times a second for
-    # the manifest until the end, beside peers that had it and all chunks.
+def test_an_agent_that_the_origin_refuses_gets_the_manifest_from_a_peer():
+    # After a power loss the origin's connections from before stay occupied, and the
+    # first agents take the rest. 13 of 42 agents requested the manifest three times a
+    # second until the end, beside peers that had it and all chunks.
     has, late = agent_of(FakeOrigin()), agent_of(FakeOrigin())
 
     async def run():
-        async with reached(has=has, late=late):
+        async with connected(has=has, late=late):
             del has.process.believer.hearsay.members["late"]
             await loaded(has)
             origin_of(late).down = True
-            told = listen(late)
+            kinds = record_events(late)
             await loaded(late)
-            return told
+            return kinds
 
-    told = asyncio.run(run())
+    kinds = asyncio.run(run())
     assert late.engine.orders == [1]
-    assert "manifest.unread" in told
+    assert "manifest.unread" in kinds
 
 
-def test_peers_that_know_no_more_leave_the_origins_failure():
-    # While nobody has the manifest, the line about it has to say what the origin did.
+def test_the_origins_failure_is_raised_if_no_peer_has_the_manifest():
+    # While nobody has the manifest, the logged failure has to be that of the origin.
     one, other = agent_of(FakeOrigin()), agent_of(FakeOrigin())
     origin_of(one).down = True
 
     async def run():
-        async with reached(one=one, other=other):
+        async with connected(one=one, other=other):
             with pytest.raises(PlatformUnavailable, match="origin"):
-                await know(one)
+                await get_manifest(one)
 
     asyncio.run(run())
 
 
-def test_a_spoilt_manifest_is_not_passed_on_by_those_who_were_told_it():
-    # One agent reads a spoilt manifest and tells it to two whom the origin turns away.
-    # Did these pass it on, it would come back to the first after it had read a good
-    # one, and go round for as long as the origin stays out of reach.
-    first = agent_of(SpoiltOrigin())
-    told, last = agent_of(FakeOrigin()), agent_of(FakeOrigin())
-    for agent in (told, last):
+def test_a_corrupt_manifest_from_a_peer_is_not_passed_on():
+    # One agent reads a corrupt manifest and passes it to two that the origin refuses.
+    # If these passed it on, it would return to the first one after that has read an
+    # intact manifest, and circulate for as long as the origin is unreachable.
+    first = agent_of(CorruptOrigin())
+    second, last = agent_of(FakeOrigin()), agent_of(FakeOrigin())
+    for agent in (second, last):
         origin_of(agent).down = True
 
     async def run():
-        async with reached(first=first, told=told, last=last):
-            spoilt = await know(first)
-            assert (await know(told)).digest == spoilt.digest
+        async with connected(first=first, told=second, last=last):
+            corrupt = await get_manifest(first)
+            assert (await get_manifest(second)).digest == corrupt.digest
             del last.process.believer.hearsay.members["first"]
             with pytest.raises(PlatformUnavailable):
-                await know(last)
+                await get_manifest(last)
 
     asyncio.run(run())
 
 
-def test_a_manifest_told_spoilt_is_put_right_by_a_peer_that_read_it_again():
-    # The peer that told a spoilt manifest has read it again; whoever took it stands
-    # with a chunk that nobody has, and the origin still turns it away.
-    first, late = agent_of(SpoiltOrigin(), RefusingEngine()), agent_of(FakeOrigin())
+def test_a_corrupt_manifest_is_replaced_by_a_peer_that_read_it_again():
+    # The peer that reported a corrupt manifest has read it again. An agent that
+    # accepted it waits for a chunk that nobody has, and is still refused by the origin.
+    first, late = agent_of(CorruptOrigin(), BusyEngine()), agent_of(FakeOrigin())
     origin_of(late).down = True
 
     async def run():
-        async with reached(first=first, late=late):
-            spoilt = await know(first)
-            assert (await know(late)).digest == spoilt.digest
-            origin_of(first).spoilt = False
-            assert await first._reread(first._model(), spoilt)
-            assert await late._reread(late._model(), spoilt)
-            return spoilt, await know(first), await know(late)
-
-    spoilt, good, now = asyncio.run(run())
-    assert now.digest == good.digest != spoilt.digest
+        async with connected(first=first, late=late):
+            corrupt = await get_manifest(first)
+            assert (await get_manifest(late)).digest == corrupt.digest
+            origin_of(first).corrupt = False
+            assert await first._reread_manifest(first._model(), corrupt)
+            assert await late._reread_manifest(late._model(), corrupt)
+            return corrupt, await get_manifest(first), await get_manifest(late)
+
+    corrupt, good, now = asyncio.run(run())
+    assert now.digest == good.digest != corrupt.digest
     assert len(now.chunks) == CHUNKS
 
 
-def test_what_an_agent_read_itself_outweighs_one_peers_other_word():
-    # A peer holds a spoilt manifest. An agent with the good one, whose transfer only
-    # takes long and whom the origin now turns away, would change to the spoilt one.
-    good, bad = agent_of(FakeOrigin()), agent_of(SpoiltOrigin())
+def test_a_manifest_that_was_read_outweighs_the_report_of_one_peer():
+    # A peer holds a corrupt manifest. An agent with the intact one, whose transfer is
+    # only slow and which the origin now refuses, must not change to the corrupt one.
+    good, bad = agent_of(FakeOrigin()), agent_of(CorruptOrigin())
 
     async def run():
-        async with reached(good=good, bad=bad):
-            before = await know(good)
-            await know(bad)
+        async with connected(good=good, bad=bad):
+            before = await get_manifest(good)
+            await get_manifest(bad)
             origin_of(good).down = True
-            assert not await good._reread(good._model(), before)
-            return before, await know(good)
+            assert not await good._reread_manifest(good._model(), before)
+            return before, await get_manifest(good)
 
     before, now = asyncio.run(run())
     assert before.digest == now.digest
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupted",
     [
         lambda m: b"",
         lambda m: b"5",
@@ -194,28 +194,28 @@
         lambda m: manifest_to_json(evolve(m, chunks=())),
     ],
 )
-def test_a_peers_word_that_is_no_manifest_of_the_version_is_a_typed_failure(spoil):
-    # A peer of another release, or bytes that were spoilt on their way, would end the
-    # agent, or have it load what belongs to another version.
+def test_a_malformed_manifest_of_a_peer_is_a_typed_failure(corrupted):
+    # Bytes of a peer with another release, or bytes corrupted in transit, must neither
+    # terminate the agent nor make it load another version's chunks.
     manifest = asyncio.run(FakeOrigin().manifest("m", 1))
     assert numbered_from_json(manifest_to_json(manifest), "m", 1) == manifest
     with pytest.raises(CorruptManifest):
-        numbered_from_json(spoil(manifest), "m", 1)
+        numbered_from_json(corrupted(manifest), "m", 1)
 
 
-def test_a_manifest_that_somebody_holds_whole_outweighs_more_that_is_not():
-    # A spoilt manifest names a chunk that nobody has: whoever holds all is right.
+def test_a_manifest_whose_chunks_are_all_held_outweighs_others():
+    # A corrupt manifest lists a chunk that nobody has: who holds all chunks is right.
     good = asyncio.run(FakeOrigin().manifest("m", 1))
-    bad = asyncio.run(SpoiltOrigin().manifest("m", 1))
+    bad = asyncio.run(CorruptOrigin().manifest("m", 1))
     words = [Word(bad), Word(bad), Word(good, whole=True)]
     assert likeliest(words) == good
     assert likeliest([Word(good), Word(bad), Word(bad)]) == bad
     assert likeliest([]) is None
 
 
-def test_an_idle_connection_is_let_go_where_connections_are_scarce():
+def test_an_idle_connection_is_closed():
     # Every agent keeps a connection that it uses once in three seconds, and the origin
-    # takes few: half of the agents are turned away by connections that do nothing.
+    # accepts few: idle connections caused half of the agents to be refused.
     closed = asyncio.Event()
 
     async def run():
@@ -238,8 +238,8 @@
     asyncio.run(run())
 
 
-def crowd(size):
-    """Agents of one region, all with origins of their own that count."""
+def agents_of_one_region(size):
+    """Return agents of one region, each with its own counting origin."""
     return {f"vm-{n}": agent_of(CountingOrigin()) for n in range(size)}
 
 
@@ -255,46 +255,49 @@
         return await super().manifest(model, version)
 
 
-def read_by_all(agents):
-    """Digests of what all agents take a manifest for, each asked at once."""
+def manifests_of_all(agents):
+    """Return the digests of the manifests that all agents get concurrently."""
 
     async def run():
-        async with reached(**agents):
-            found = await asyncio.gather(*(know(agent) for agent in agents.values()))
+        async with connected(**agents):
+            found = await asyncio.gather(
+                *(get_manifest(agent) for agent in agents.values())
+            )
             return {manifest.digest for manifest in found}
 
     return asyncio.run(run())
 
 
 @pytest.mark.parametrize("size", [20, 40])
-def test_a_few_agents_near_by_read_a_manifest_for_all(size):
-    # Guards against an origin of 48 connections that 136 agents ask in one moment: it
-    # turned most of them away, and sent two thirds of a copy as manifests.
-    agents = crowd(size)
-    assert len(read_by_all(agents)) == 1
+def test_a_few_agents_per_region_read_a_manifest_for_all(size):
+    # Guards against overload of an origin with 48 connections when 136 agents request
+    # the manifest at once: it refused most of them, and sent two thirds of a copy as
+    # manifests.
+    agents = agents_of_one_region(size)
+    assert len(manifests_of_all(agents)) == 1
     read = sum(origin_of(agent).manifests_read for agent in agents.values())
-    assert read == READERS
+    assert read == READERS_PER_REGION
 
 
-def test_a_manifest_that_one_reader_read_spoilt_is_not_taken_from_it_alone():
-    agents = crowd(12)
-    ranked = rank(f"{numbered_name('m', 1)}/r", agents)[:READERS]
-    agents[ranked[0]].deployment.open_origin = lambda *_: SpoiltOrigin()
-    found = read_by_all(agents)
+def test_a_corrupt_manifest_of_one_reader_is_not_accepted():
+    agents = agents_of_one_region(12)
+    ranked = rank(f"{numbered_name('m', 1)}/r", agents)[:READERS_PER_REGION]
+    agents[ranked[0]].deployment.open_origin = lambda *_: CorruptOrigin()
+    found = manifests_of_all(agents)
     others = [a for name, a in agents.items() if name != ranked[0]]
     assert len(found) == 2
     assert len({a.manifests.known(1).digest for a in others}) == 1
 
 
-def test_readers_that_are_gone_hold_nobody_up_for_long():
-    agents = crowd(12)
-    ranked = rank(f"{numbered_name('m', 1)}/r", agents)[:READERS]
+def test_lost_readers_delay_other_agents_only_briefly():
+    agents = agents_of_one_region(12)
+    ranked = rank(f"{numbered_name('m', 1)}/r", agents)[:READERS_PER_REGION]
 
     async def run():
-        async with reached(**agents):
+        async with connected(**agents):
             late = next(a for name, a in agents.items() if name not in ranked)
             async with asyncio.timeout(3):
-                await know(late)
+                await get_manifest(late)
             assert origin_of(late).manifests_read == 1
 
     asyncio.run(run())
--- a/tests/adapter/test_retirement.py
+++ b/tests/adapter/test_retirement.py
@@ -1,4 +1,4 @@
-"""Weights whose time is over leave their engine, whatever waits there."""
+"""An agent unloads expired weights from its engine, whatever waits there."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -6,12 +6,12 @@
 import pytest
 from agent_fakes import MODEL, holds
 from attrs import evolve
-from wasabideck_agent.retirement import AHEAD_SECONDS, EMPTY_LOOK_SECONDS
+from wasabideck_agent.retirement import RECHECK_DELAY_SECONDS, UNLOAD_LEAD_SECONDS
 from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_policy.backends import Loaded
 from wasabideck_policy.engine_state import EngineState, OrderAnswer
 
-# How long a named version may take, here (seconds).
+# Seconds within which a declared version has to be in effect.
 WITHIN = 1.0
 
 
@@ -40,25 +40,25 @@
     return asyncio.get_running_loop().time()
 
 
-def test_nothing_is_begun_on_overdue_weights_where_no_entry_takes_it_back(
+def test_no_request_starts_on_expired_weights_if_no_entry_recalls_it(
     agent, engine, origin
 ):
-    # Guards against drafts begun too late when an entry's close comes late.
+    # Guards against requests that start too late because an entry's cancel is late.
     async def scenario():
-        origin.lacks = {2}
+        origin.missing_versions = {2}
         async with running(agent) as beliefs:
             beliefs.name_version("m", 2, now())
             engine.waiting = 3
             await asyncio.sleep(WITHIN)
-            engine.has_place()
-        assert engine.begun == []
+            engine.start_waiting()
+        assert engine.started_on == []
         assert engine.refused == 3
 
     asyncio.run(scenario())
 
 
-def test_an_engine_that_has_newer_weights_in_time_just_loads_them(agent, engine):
-    # Guards against a sound swap that loses what waits for it.
+def test_newer_weights_that_are_complete_in_time_are_loaded_directly(agent, engine):
+    # Guards against a regular swap that loses the requests that wait for it.
     async def scenario():
         async with running(agent) as beliefs:
             beliefs.name_version("m", 2, now())
@@ -70,17 +70,17 @@
     asyncio.run(scenario())
 
 
-def test_newer_weights_are_loaded_after_the_old_ones_were_taken_out(
+def test_newer_weights_are_loaded_after_the_old_ones_were_unloaded(
     agent, engine, origin
 ):
-    # Guards against an engine that stays empty once its weights were retired.
+    # Guards against an engine that stays empty after its weights were unloaded.
     async def scenario():
-        origin.lacks = {2}
+        origin.missing_versions = {2}
         async with running(agent) as beliefs:
             beliefs.name_version("m", 2, now())
             await asyncio.sleep(WITHIN)
             assert engine.loaded == ()
-            origin.lacks = set()
+            origin.missing_versions = set()
             async with asyncio.timeout(5.0):
                 while not holds(engine, 2)():
                     await asyncio.sleep(0.05)
@@ -89,10 +89,10 @@
     asyncio.run(scenario())
 
 
-def test_weights_stay_while_the_age_of_newer_ones_is_a_guess(agent, engine, origin):
-    # Guards against an agent that starts and empties a sound engine seconds too early.
+def test_weights_stay_while_the_age_of_newer_ones_is_estimated(agent, engine, origin):
+    # Guards against a starting agent that empties a healthy engine seconds too early.
     async def scenario():
-        origin.lacks = {2}
+        origin.missing_versions = {2}
         async with running(agent) as beliefs:
             beliefs.began = now()
             beliefs.name_version("m", 2, now() - 2 * WITHIN, False, now())
@@ -105,10 +105,10 @@
     asyncio.run(scenario())
 
 
-def test_an_engine_that_does_not_answer_is_asked_again(agent, engine, origin):
-    # Guards against weights that stay because one order was lost.
+def test_a_failed_order_to_unload_is_repeated(agent, engine, origin):
+    # Guards against weights that stay loaded because one order was lost.
     async def scenario():
-        origin.lacks = {2}
+        origin.missing_versions = {2}
         unload, failures = engine.unload, []
 
         async def failing(*args):
@@ -126,36 +126,36 @@
     asyncio.run(scenario())
 
 
-def test_an_engine_that_loads_already_gets_no_other_order(agent, engine):
-    # Guards against newer weights that are thrown away while they are being loaded.
+def test_a_loading_engine_gets_no_other_order(agent, engine):
+    # Guards against newer weights that are discarded while they are being loaded.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
         beliefs.name_version("m", 2, now() - WITHIN)
-        engine.loading, engine.looks = (2, {}), 100
-        await agent.retirement.look(now())
+        engine.loading, engine.polls_left = (2, {}), 100
+        await agent.retirement.check(now())
         assert engine.orders == []
 
     asyncio.run(scenario())
 
 
-def test_a_version_that_is_over_when_it_is_whole_is_not_loaded(agent, engine):
-    # Guards against overdue weights that come into force at the end of a long transfer.
+def test_a_version_expired_when_it_is_complete_is_not_loaded(agent, engine):
+    # Guards against expired weights that take effect at the end of a long transfer.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
         manifest = await agent.manifests.get("m", 2)
         beliefs.name_version("m", 2, now() - 2 * WITHIN)
         beliefs.name_version("m", 3, now() - WITHIN)
-        assert await agent._gather(MODEL, manifest)
+        assert await agent._fetch_and_stage(MODEL, manifest)
         await agent._swap(MODEL, manifest)
         assert engine.orders == []
 
     asyncio.run(scenario())
 
 
-def test_a_version_that_ends_during_its_load_is_not_loaded(agent, engine):
-    # Guards against what waits for a load beginning on weights that are over by then.
+def test_a_version_that_expires_during_its_load_is_not_loaded(agent, engine):
+    # Guards against requests that wait for a load and start on weights expired by then.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
@@ -163,7 +163,7 @@
         beliefs.name_version("m", 2, now())
         beliefs.name_version("m", 3, now())
         engine.running = 1
-        assert await agent._gather(MODEL, manifest)
+        assert await agent._fetch_and_stage(MODEL, manifest)
         await agent._swap(MODEL, manifest)
         assert engine.orders == []
         engine.running = 0
@@ -173,26 +173,26 @@
     asyncio.run(scenario())
 
 
-def test_newer_weights_that_are_being_ordered_are_waited_for(agent, engine):
-    # Guards against an engine that is emptied while its newer weights are checked.
+def test_unloading_waits_for_an_order_that_is_being_prepared(agent, engine):
+    # Guards against an engine that is emptied while its newer weights are verified.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
         beliefs.name_version("m", 2, now() - WITHIN + 0.4)
         agent.retirement.loading = True
-        await agent.retirement.look(now())
+        await agent.retirement.check(now())
         assert engine.orders == []
         beliefs.date_version("m", 2, now() - WITHIN + 0.2)
-        await agent.retirement.look(now())
+        await agent.retirement.check(now())
         assert engine.orders == [-2]
 
     asyncio.run(scenario())
 
 
-def test_an_engine_that_hangs_is_asked_anew(agent, engine, origin):
-    # Guards against one call without an answer that outlasts the weights' time.
+def test_an_order_to_unload_that_hangs_is_repeated(agent, engine, origin):
+    # Guards against one call without a reply that lasts beyond the weights' expiry.
     async def scenario():
-        origin.lacks = {2}
+        origin.missing_versions = {2}
         unload, hung = engine.unload, []
 
         async def hanging(*args):
@@ -210,97 +210,97 @@
     asyncio.run(scenario())
 
 
-def test_entries_hear_at_once_that_an_engine_takes_nothing_more(agent, engine, origin):
+def test_unloading_is_reported_to_entries_immediately(agent, engine, origin):
     # Guards against requests that are sent to an engine which refuses all of them.
     async def scenario():
-        told = []
-        agent.tell = lambda state: told.append(agent.describe(state)[:2])
+        reported = []
+        agent.send_report = lambda state: reported.append(agent.describe(state)[:2])
         agent.process.clock = now
         agent.process.believer.beliefs.name_version("m", 2, now() - WITHIN)
-        await agent.retirement.look(now())
-        assert told == [(1, False)]
+        await agent.retirement.check(now())
+        assert reported == [(1, False)]
 
     asyncio.run(scenario())
 
 
-def test_an_agent_stays_until_its_engine_has_no_overdue_weights(agent, engine, origin):
+def test_an_agent_drains_until_its_engine_has_no_expired_weights(agent, engine, origin):
     # Guards against an engine that keeps old weights for good without its agent.
     async def scenario():
-        origin.lacks = {2}
+        origin.missing_versions = {2}
         async with running(agent) as beliefs:
             beliefs.name_version("m", 2, now())
             began = now()
-            await agent.retirement.leave(5.0)
+            await agent.retirement.drain(5.0)
             assert engine.loaded == ()
             assert WITHIN / 2 < now() - began < WITHIN
 
     asyncio.run(scenario())
 
 
-def test_an_agent_whose_time_ends_first_takes_the_weights_out_then(agent, engine):
-    # Guards against an agent that is killed with old weights still in its engine.
+def test_an_agent_unloads_the_weights_at_the_end_of_its_grace_period(agent, engine):
+    # Guards against an agent that is killed while old weights are still loaded.
     async def scenario():
         agent.process.clock = now
         agent.process.believer.beliefs.name_version("m", 2, now())
-        await agent.retirement.leave(0.2)
+        await agent.retirement.drain(0.2)
         assert engine.orders == [-2]
 
     asyncio.run(scenario())
 
 
-def test_an_agent_whose_engine_has_the_newest_weights_leaves_at_once(agent, engine):
-    # Guards against every stop of an agent lasting for its whole grace.
+def test_an_agent_whose_engine_has_the_newest_weights_stops_at_once(agent, engine):
+    # Guards against shutdowns of agents that always take the whole grace period.
     async def scenario():
         agent.process.clock = now
         began = now()
-        await agent.retirement.leave(5.0)
+        await agent.retirement.drain(5.0)
         assert now() - began < 0.5
         assert engine.orders == []
 
     asyncio.run(scenario())
 
 
-def test_what_an_engine_is_loading_is_looked_at_when_it_is_loaded(agent, engine):
-    # Guards against overdue weights that come in by an order that is in progress.
+def test_weights_are_checked_again_after_a_load_in_progress(agent, engine):
+    # Guards against expired weights that are loaded by an order in progress.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
         beliefs.name_version("m", 2, now() - 2 * WITHIN)
         beliefs.name_version("m", 3, now() - WITHIN)
-        engine.loaded, engine.loading, engine.looks = (), (2, {}), 100
-        await agent.retirement.look(now())
+        engine.loaded, engine.loading, engine.polls_left = (), (2, {}), 100
+        await agent.retirement.check(now())
         engine.loaded, engine.loading = (Loaded("m", 2, 0, 4),), None
-        await agent.retirement.look(now())
+        await agent.retirement.check(now())
         assert engine.orders == [-3]
 
     asyncio.run(scenario())
 
 
-def test_overdue_weights_that_come_into_an_empty_engine_leave_it_again(agent, engine):
-    # Guards against an engine that was empty once and is never looked at again.
+def test_expired_weights_loaded_into_an_empty_engine_are_unloaded(agent, engine):
+    # Guards against an engine that was empty once and is never checked again.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
         beliefs.name_version("m", 2, now() - 2 * WITHIN)
         beliefs.name_version("m", 3, now() - WITHIN)
         engine.loaded = ()
-        await agent.retirement.look(now())
+        await agent.retirement.check(now())
         engine.loaded = (Loaded("m", 2, 0, 4),)
-        await asyncio.sleep(EMPTY_LOOK_SECONDS)
-        await agent.retirement.look(now())
+        await asyncio.sleep(RECHECK_DELAY_SECONDS)
+        await agent.retirement.check(now())
         assert engine.orders == [-3]
 
     asyncio.run(scenario())
 
 
-def test_a_version_that_is_over_after_its_check_is_not_loaded(agent, engine):
-    # Guards against a check that takes so long that another version is due after it.
+def test_a_version_that_expires_during_its_verification_is_not_loaded(agent, engine):
+    # Guards against a verification that takes until another version is due.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
         manifest = await agent.manifests.get("m", 2)
         beliefs.name_version("m", 2, now())
-        assert await agent._gather(MODEL, manifest)
+        assert await agent._fetch_and_stage(MODEL, manifest)
         read = engine.staged_piece
 
         async def read_slowly(model, index):
@@ -315,24 +315,24 @@
     asyncio.run(scenario())
 
 
-def test_an_agent_stays_while_its_engine_loads(agent, engine):
-    # Guards against a version that comes in overtaken with nobody beside its engine.
+def test_an_agent_drains_while_its_engine_loads(agent, engine):
+    # Guards against a superseded version that is loaded after the agent has stopped.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
         beliefs.name_version("m", 3, now())
-        engine.loaded, engine.loading, engine.looks = (), (2, {}), 10_000
-        leaving = asyncio.create_task(agent.retirement.leave(3.0))
+        engine.loaded, engine.loading, engine.polls_left = (), (2, {}), 10_000
+        draining = asyncio.create_task(agent.retirement.drain(3.0))
         await asyncio.sleep(0.2)
-        assert not leaving.done()
+        assert not draining.done()
         engine.loaded, engine.loading = (Loaded("m", 3, 0, 4),), None
-        await asyncio.wait_for(leaving, 1.0)
+        await asyncio.wait_for(draining, 1.0)
 
     asyncio.run(scenario())
 
 
-def test_an_agent_that_stops_tries_more_than_once(agent, engine):
-    # Guards against one lost order that leaves old weights behind for good.
+def test_an_agent_that_stops_retries_the_order(agent, engine):
+    # Guards against one lost order that leaves old weights loaded for good.
     async def scenario():
         agent.process.clock = now
         unload, failures = engine.unload, []
@@ -345,16 +345,16 @@
 
         engine.unload = failing
         agent.process.believer.beliefs.name_version("m", 2, now())
-        await agent.retirement.leave(0.4)
+        await agent.retirement.drain(0.4)
         assert engine.orders == [-2]
 
     asyncio.run(scenario())
 
 
-def test_an_agent_beside_an_engine_that_is_down_leaves_where_no_version_was_named(
+def test_an_agent_beside_a_dead_engine_stops_at_once_without_a_declaration(
     agent, engine
 ):
-    # Guards against stops that wait beside a dead engine for nothing.
+    # Guards against shutdowns that wait beside a dead engine without a reason.
     async def scenario():
         agent.process.clock = now
 
@@ -363,16 +363,16 @@
 
         engine.state = down
         began = now()
-        await agent.retirement.leave(5.0)
+        await agent.retirement.drain(5.0)
         assert now() - began < 0.5
 
     asyncio.run(scenario())
 
 
-def test_an_engine_that_refuses_is_not_flooded(agent, engine, origin):
+def test_an_engine_that_refuses_orders_gets_few_of_them(agent, engine, origin):
     # Guards against an order every 0.05 s for as long as an engine refuses it.
     async def scenario():
-        origin.lacks, refused = {2}, []
+        origin.missing_versions, refused = {2}, []
 
         async def refusing(*args):
             refused.append(args)
@@ -387,8 +387,8 @@
     asyncio.run(scenario())
 
 
-def test_an_agent_tells_only_of_versions_whose_end_it_knows(agent, engine):
-    # Guards against entries that rely on an agent which only guesses a version's age.
+def test_an_agent_reports_only_versions_whose_expiry_it_knows(agent, engine):
+    # Guards against entries that rely on an agent which only estimates a version's age.
     beliefs = agent.process.believer.beliefs
     beliefs.name_version("m", 2, 0.0, False, 0.0)
     state = EngineState((Loaded("m", 1, 0, 4),), busy=False, born=1)
@@ -397,39 +397,43 @@
     assert agent.describe(state)[3] == 2
 
 
-def test_a_version_that_stays_without_a_date_counts_in_the_end(agent, engine):
-    # Guards against overdue weights where all processes start anew beside live engines.
+def test_a_version_without_a_declaration_time_is_due_after_the_stable_time(
+    agent, engine
+):
+    # Guards against expired weights when all processes restart beside running engines.
     async def scenario():
         heard_at = now()
         beliefs = agent.process.believer.beliefs
         beliefs.name_version("m", 2, heard_at - 2 * WITHIN, False, heard_at)
-        counts_at = heard_at + agent.process.cfg.bounds.stable - AHEAD_SECONDS
-        await agent.retirement.look(counts_at - 0.01)
+        counts_at = heard_at + agent.process.cfg.bounds.stable - UNLOAD_LEAD_SECONDS
+        await agent.retirement.check(counts_at - 0.01)
         assert engine.orders == []
-        await agent.retirement.look(counts_at + 0.01)
+        await agent.retirement.check(counts_at + 0.01)
         assert engine.orders == [-2]
 
     asyncio.run(scenario())
 
 
-def test_a_whole_version_is_loaded_when_the_old_weights_are_out(agent, engine, origin):
-    # Guards against an engine that stays empty for the newest version with another one,
-    # which may serve for seconds, whole beside it.
+def test_a_complete_version_is_loaded_once_the_old_weights_are_unloaded(
+    agent, engine, origin
+):
+    # Guards against an engine that stays empty until the newest version is complete,
+    # although another one is complete that may serve for seconds.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
         manifest = await agent.manifests.get("m", 2)
         beliefs.name_version("m", 2, now() - WITHIN)
         beliefs.name_version("m", 3, now() + 1.0)
-        assert await agent._gather(MODEL, manifest)
-        agent._born, agent._serves = engine.born, 1
-        engine.loading, engine.looks, engine.loaded = None, 0, ()
-        state, looks = engine.state, []
+        assert await agent._fetch_and_stage(MODEL, manifest)
+        agent._engine_start, agent._served_version = engine.born, 1
+        engine.loading, engine.polls_left, engine.loaded = None, 0, ()
+        state, polls = engine.state, []
 
         async def draining():
-            looks.append(1)
+            polls.append(1)
             found = await state()
-            return evolve(found, busy=len(looks) < 6)
+            return evolve(found, busy=len(polls) < 6)
 
         engine.state = draining
         await agent._swap(MODEL, manifest)
@@ -438,9 +442,9 @@
     asyncio.run(scenario())
 
 
-def test_an_agent_that_starts_loads_no_version_that_may_be_over(agent, engine):
-    # Guards against an overtaken version in an empty engine where all processes start
-    # anew, and none knows how long ago the newest one was named.
+def test_a_starting_agent_loads_no_version_that_may_have_expired(agent, engine):
+    # Guards against a superseded version in an empty engine when all processes restart
+    # and none knows how long ago the newest version was declared.
     async def scenario():
         agent.process.clock = now
         beliefs = agent.process.believer.beliefs
@@ -449,7 +453,7 @@
         beliefs.name_version("m", 2, now() - 2 * WITHIN)
         beliefs.name_version("m", 3, now() - 2 * WITHIN, False, now())
         engine.loaded = ()
-        assert await agent._gather(MODEL, manifest)
+        assert await agent._fetch_and_stage(MODEL, manifest)
         await agent._swap(MODEL, manifest)
         assert engine.orders == []
 
--- a/tests/weights/conftest.py
+++ b/tests/weights/conftest.py
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def session():
-    """Make a session of VM a with the given fake peers."""
+    """Return a factory of sessions of VM a with the given fake peers."""
 
     def make(*peers, texts=TEXTS, version="v1", store=None, **fields):
         return Session(
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def gaining():
-    """A peer that gains its chunks one after the other."""
+    """Return a factory of peers that gain their chunks one after the other."""
 
     def make(vm, begin=0.2, step=0.15, first=0, **fields):
         holds = {begin + step * i: 1 << (first + i) % CHUNKS for i in range(CHUNKS)}
--- a/tests/weights/test_answer_window.py
+++ b/tests/weights/test_answer_window.py
@@ -1,4 +1,4 @@
-"""What is under way of a chunk is bounded by what its receiver has read."""
+"""The bytes of a chunk in flight are bounded by what its receiver has read."""
 
 import asyncio
 
@@ -17,8 +17,8 @@
 MANIFEST = manifest_of("v1", [TEXT])
 
 
-async def _uploads_beside_a_slow_reader(window):
-    """Uploads in progress before the receiver has read a byte, and after all."""
+async def _uploads_to_a_slow_reader(window):
+    """Return the open uploads before the receiver reads a byte, and at the end."""
     store = ChunkStore()
     store.know(MANIFEST)
     store.add(MANIFEST.chunks[0], TEXT.encode(), "")
@@ -42,13 +42,13 @@
         server.close()
 
 
-def test_chunks_do_not_fill_the_queue_of_a_narrow_link():
-    # During a rollout half of the drafts have an event that is late, or a server works
-    # on for a caller who has left: whole chunks wait in the queue of a VM's link, and
-    # live events, or word of the caller's leaving, wait behind them. The sender had
-    # handed all bytes to the system before the receiver had read any.
-    assert asyncio.run(_uploads_beside_a_slow_reader(ANSWER_WINDOW)) == (1, 0)
+def test_chunks_do_not_fill_the_queue_of_a_slow_link():
+    # Guards against late live events, and against servers that work on for callers who
+    # disconnected: half of the streams were affected during a rollout. Senders handed
+    # whole chunks to the system before the receiver had read any of them, and live
+    # events and cancellations queued behind these on a VM's link.
+    assert asyncio.run(_uploads_to_a_slow_reader(ANSWER_WINDOW)) == (1, 0)
 
 
-def test_without_a_window_a_chunk_is_under_way_at_once():
-    assert asyncio.run(_uploads_beside_a_slow_reader(0)) == (0, 0)
+def test_without_a_window_a_whole_chunk_is_in_flight_at_once():
+    assert asyncio.run(_uploads_to_a_slow_reader(0)) == (0, 0)
--- a/tests/weights/test_chunk_http.py
+++ b/tests/weights/test_chunk_http.py
@@ -1,4 +1,4 @@
-"""Chunks between agents over plain HTTP."""
+"""Transfers of chunks between agents over plain HTTP."""
 
 import asyncio
 import base64
@@ -8,14 +8,14 @@
 import pytest
 from driver import manifest_of
 from wasabideck_agent.chunk_http import (
-    MOST_QUESTION_BYTES,
+    MAX_REQUEST_BYTES,
     PART_BYTES,
+    chunk_port,
     http_calls,
     listen_for_chunks,
-    port_of_chunks,
 )
 from wasabideck_agent.chunk_store import ChunkStore
-from wasabideck_agent.chunks_service import ABANDONED_SECONDS, ChunksService
+from wasabideck_agent.chunks_service import UPLOAD_TIMEOUT_SECONDS, ChunksService
 from wasabideck_agent.links import Link, Links
 from wasabideck_agent.transfer import Transfer
 from wasabideck_base.channels import LINK_FAILURES
@@ -45,11 +45,11 @@
 
 @asynccontextmanager
 async def listening(service):
-    """An agent that gives chunks: the address that its row of members has."""
+    """Run an agent's chunk server; yields the address that its member row has."""
     server = await listen_for_chunks(service, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     try:
-        yield f"127.0.0.1:{port - port_of_chunks(0)}"
+        yield f"127.0.0.1:{port - chunk_port(0)}"
     finally:
         server.close()
 
@@ -62,7 +62,7 @@
     return [part async for part in calls.fetch(address, req, 3.0)]
 
 
-def test_a_chunk_comes_in_small_parts_and_with_what_its_sender_holds():
+def test_a_chunk_is_sent_in_small_parts_with_the_senders_holdings():
     service = service_of(store_of(0, 2))
 
     async def run():
@@ -77,7 +77,7 @@
     assert (service.uploads, service.sent[MANIFEST.digest]) == (0, 1)
 
 
-def test_what_is_not_held_is_refused_with_what_is():
+def test_a_refusal_has_the_senders_holdings():
     async def run():
         async with listening(service_of(store_of(1))) as address, HttpPool() as pool:
             return await fetched(http_calls(pool), address, request(0))
@@ -87,8 +87,8 @@
     assert part.holdings == b"\x02"
 
 
-def test_an_upload_keeps_its_place_until_its_last_part():
-    # Guards against a sender that takes on more than its link carries.
+def test_an_upload_occupies_a_slot_until_its_last_part():
+    # Guards against a sender that accepts more uploads than its link carries.
     service = service_of(store_of(0, 1), uploads=1)
     service.clock = lambda: 10.0
     assert not service.first_part(request(0, "b"), PART_BYTES).refused
@@ -98,19 +98,19 @@
     assert not service.first_part(request(1, "c"), PART_BYTES).refused
 
 
-def test_an_upload_whose_asker_is_gone_gives_its_place_back():
-    # Guards against agents that are killed in the middle of a rollout, and whose
-    # peers would send to nobody any more.
+def test_an_abandoned_upload_frees_its_slot():
+    # Guards against agents killed during a rollout that occupy their peers' upload
+    # slots for good.
     service, now = service_of(store_of(0, 1), uploads=1), [10.0]
     service.clock = lambda: now[0]
     service.first_part(request(0, "gone"), PART_BYTES)
-    now[0] += ABANDONED_SECONDS + 0.1
+    now[0] += UPLOAD_TIMEOUT_SECONDS + 0.1
     assert not service.first_part(request(1, "c"), PART_BYTES).refused
     assert service.next_part("gone", 0, PART_BYTES, PART_BYTES).refused
     assert service.uploads == 1
 
 
-def test_a_chunk_that_is_asked_for_anew_takes_one_place():
+def test_a_chunk_that_is_requested_again_occupies_one_slot():
     service = service_of(store_of(0), uploads=2)
     service.clock = lambda: 10.0
     for _ in range(5):
@@ -127,18 +127,16 @@
         b"GET /more/1 HTTP/1.1\r\n\r\n",
         b"GET /else HTTP/1.1\r\n\r\n",
         b"no http at all\r\n\r\n",
-        b"GET /" + b"x" * 2 * MOST_QUESTION_BYTES + b" HTTP/1.1\r\n\r\n",
-        b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * MOST_QUESTION_BYTES + b"\r\n",
+        b"GET /" + b"x" * 2 * MAX_REQUEST_BYTES + b" HTTP/1.1\r\n\r\n",
+        b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * MAX_REQUEST_BYTES + b"\r\n",
     ],
     ids="base64 message begin parts path http long-path long-head".split(),
 )
-def test_what_is_no_question_is_answered_so_or_not_at_all(question):
+def test_a_malformed_request_gets_status_400_or_no_response(question):
     async def run():
         async with listening(service_of(store_of(0))) as address:
             host, _, port = address.rpartition(":")
-            reader, writer = await asyncio.open_connection(
-                host, port_of_chunks(int(port))
-            )
+            reader, writer = await asyncio.open_connection(host, chunk_port(int(port)))
             writer.write(question)
             try:
                 return await reader.read(200)
@@ -151,7 +149,7 @@
     assert answer == b"" or answer.startswith(b"HTTP/1.1 400")
 
 
-def test_a_peer_that_is_gone_is_a_failed_link():
+def test_a_lost_peer_is_a_failed_link():
     async def run():
         async with HttpPool() as pool:
             with pytest.raises(LINK_FAILURES):
@@ -168,7 +166,7 @@
         raise PlatformUnavailable("origin", "down", False)
 
 
-def test_a_rollout_among_peers_ends_with_all_chunks_everywhere():
+def test_a_rollout_among_peers_completes_everywhere():
     stores = {f"vm-{n}": store_of(*range(n * 2, n * 2 + 2)) for n in range(4)}
 
     async def run():
--- a/tests/weights/test_chunk_store.py
+++ b/tests/weights/test_chunk_store.py
@@ -7,7 +7,7 @@
 from wasabideck_agent.chunk_store import ChunkStore
 from wasabideck_policy.manifests import CorruptChunk, chunk_digest
 
-# Version 2 shares two chunks with version 1, and holds one chunk twice.
+# Version 2 shares two chunks with version 1, and contains one chunk twice.
 TEXTS = {"v1": ["a", "b", "c", "d"], "v2": ["a", "x", "c", "x", "y"]}
 MANIFESTS = {version: manifest_of(version, texts) for version, texts in TEXTS.items()}
 
@@ -23,7 +23,7 @@
 
 
 @given(steps)
-def test_whole_means_the_very_bytes_of_one_version(sequence):
+def test_a_complete_manifest_has_exactly_the_bytes_of_one_version(sequence):
     store = ChunkStore()
     for kind, version, place in sequence:
         manifest, texts = MANIFESTS[version], TEXTS[version]
@@ -46,16 +46,16 @@
                 assert b"".join(parts).decode() == "".join(TEXTS[name])
 
 
-def test_a_corrupt_chunk_names_its_sender():
+def test_the_error_for_a_corrupt_chunk_has_its_source():
     store = ChunkStore()
     with pytest.raises(CorruptChunk) as caught:
         store.add(chunk_digest(b"good"), b"bad", "vm-7")
     assert caught.value.source == "vm-7"
 
 
-def test_superseded_weights_leave_memory():
-    # An agent grows by one model with each rollout until its VM kills it: the chunks
-    # of versions that no ticket names any more were kept.
+def test_superseded_weights_are_freed():
+    # Guards against an agent that grows by one model with each rollout until its VM
+    # kills it, because chunks of versions that no ticket names any more are kept.
     store = ChunkStore()
     for version, texts in TEXTS.items():
         store.know(MANIFESTS[version])
--- a/tests/weights/test_links.py
+++ b/tests/weights/test_links.py
@@ -1,4 +1,4 @@
-"""Weights are paced below live requests, and nobody sends far more than its share."""
+"""Weight traffic yields to live requests, and no VM sends far more than its share."""
 
 import asyncio
 from types import SimpleNamespace
@@ -6,7 +6,7 @@
 import pytest
 from driver import manifest_of
 from wasabideck_agent.chunk_store import ChunkStore
-from wasabideck_agent.chunks_service import SHARE, ChunksService
+from wasabideck_agent.chunks_service import MAX_SENT_RATIO, ChunksService
 from wasabideck_agent.links import Link, Links
 from wasabideck_agent.transfer import limits_of
 from wasabideck_base.settings import WeightsSettings
@@ -16,32 +16,32 @@
 MANIFEST = manifest_of("v1", TEXTS)
 
 
-def test_uploads_pass_the_link_in_turn():
+def test_uploads_are_sent_first_in_first_out():
     link = Link(rate=100.0)
     assert [link.send_seconds(50, 10.0) for _ in range(3)] == [0.5, 1.0, 1.5]
 
 
-def test_live_bytes_push_the_weights_back():
-    # A clerk's answer takes seconds while a rollout is under way: weights filled the
-    # VM's link ahead of it. Live bytes do not wait for the weights, the weights do.
+def test_live_bytes_delay_the_weights():
+    # Guards against slow responses during a rollout: weights filled the VM's link ahead
+    # of them. Live bytes do not wait for weights, weights wait for live bytes.
     link = Link(rate=100.0)
     link.send_seconds(50, 10.0)
-    link.give_way(200, 10.0)
+    link.reserve_live(200, 10.0)
     assert link.send_seconds(50, 10.0) == pytest.approx(3.0)
 
 
-def test_an_idle_link_does_not_hold_up_what_has_just_come():
+def test_an_idle_link_does_not_delay_received_bytes():
     link = Link(rate=100.0)
     assert link.receive_seconds(50, 10.0) == 0.0
     assert link.receive_seconds(50, 10.0) == pytest.approx(0.5)
 
 
-def test_bytes_that_were_not_sent_take_no_time():
-    # The link into a region idles for a third of a rollout: a gateway waited for its
-    # turn, the sender refused, and the turn was gone.
+def test_a_released_reservation_takes_no_time():
+    # The link into a region was idle for a third of a rollout: a gateway reserved its
+    # transmission time, the sender refused, and the reservation stayed.
     link = Link(rate=100.0)
     assert link.send_seconds(50, 10.0) == pytest.approx(0.5)
-    link.give_back(50)
+    link.release(50)
     assert link.send_seconds(50, 10.0) == pytest.approx(0.5)
     assert link.passed == 50
 
@@ -52,15 +52,15 @@
 
 
 @pytest.mark.parametrize(("urgent", "refused"), [(False, True), (True, False)])
-def test_a_vm_that_sent_its_share_serves_only_those_in_need(urgent, refused):
-    # One VM's link carries ten copies while others carry none, and live requests on
-    # that VM are late: everyone fetched from the first to be whole.
+def test_a_vm_that_sent_its_share_serves_only_urgent_requests(urgent, refused):
+    # Guards against one VM's link carrying ten copies while others carry none, which
+    # delays live requests there: all agents fetched from the first complete one.
     store = ChunkStore()
     store.know(MANIFEST)
     for digest, text in zip(MANIFEST.chunks, TEXTS, strict=True):
         store.add(digest, text.encode(), "")
     service = ChunksService(store, Links(Link(), Link(), Link()), 3)
-    service.sent[MANIFEST.digest] = int(SHARE * len(TEXTS)) + 1
+    service.sent[MANIFEST.digest] = int(MAX_SENT_RATIO * len(TEXTS)) + 1
     req = pb.FetchRequest(manifest=MANIFEST.digest, index=1, vm="a", urgent=urgent)
     sent = []
 
@@ -75,7 +75,7 @@
     assert [part.refused for part in sent] == [refused]
 
 
-def test_the_patient_profile_waits_longer_before_it_reads_the_origin_again():
-    swift = limits_of(WeightsSettings(profile="time"), 1 << 20)
+def test_the_origin_bytes_profile_waits_longer_before_reading_the_origin_again():
+    default = limits_of(WeightsSettings(profile="time"), 1 << 20)
     patient = limits_of(WeightsSettings(profile="origin-bytes"), 1 << 20)
-    assert patient.patience == 4 * swift.patience
+    assert patient.patience == 4 * default.patience
--- a/tests/weights/test_transfer.py
+++ b/tests/weights/test_transfer.py
@@ -1,4 +1,4 @@
-"""Transfers between real chunk services, on loopback in one process."""
+"""Transfers between real chunk services on the loopback interface, in one process."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 
 @define
 class FakeOrigin:
-    """An origin that is down, or gives each chunk and counts it."""
+    """An origin that is down, or serves each chunk and records the read."""
 
     down: bool = False
     reads: list[str] = field(factory=list)
@@ -66,7 +66,7 @@
 
 
 class SlowService(ChunksService):
-    """Sends each chunk in small parts, slowly, and tells its holdings once in time."""
+    """Sends chunks slowly in small parts; all but its first holdings reply are late."""
 
     asked = 0
     fetched = 0
@@ -126,8 +126,9 @@
     )
 
 
-def test_a_corrupt_sender_is_named_and_another_gives_the_chunk(events):
-    # An engine answers rubbish after a rollout in which one VM's memory was bad.
+def test_chunks_of_a_corrupting_peer_are_fetched_from_another(events):
+    # Guards against corrupt responses of an engine after a rollout in which one VM's
+    # memory was faulty.
     async def body():
         async with serving("bad", CorruptingService) as bad, serving("good") as good:
             channels = Channels(events.clock)
@@ -143,7 +144,7 @@
 
 
 def test_a_cancelled_transfer_stops_all_its_fetches(events):
-    # A newer ticket comes, and chunks of the older version go on taking the link.
+    # Guards against chunks of a superseded version that still occupy the link.
     async def body():
         async with serving("b", texts=TEXTS[:3]) as half:
             origin = FakeOrigin(down=True)
@@ -165,9 +166,9 @@
     assert transfer.service.listeners == {}
 
 
-def test_a_manifest_comes_from_a_peer_while_the_origin_is_down(events):
-    # A VM replaced during an outage of the origin serves nothing: its peers had all
-    # the chunks, and only the list of them was read from the origin.
+def test_a_manifest_is_read_from_a_peer_while_the_origin_is_down(events):
+    # A VM that was replaced during an outage of the origin served nothing: its peers
+    # had all chunks, but the manifest was read only from the origin.
     async def body():
         async with serving("b") as peer:
             channels = Channels(events.clock)
@@ -181,16 +182,16 @@
     assert asyncio.run(body()) == MANIFEST
 
 
-def test_a_frozen_peer_does_not_hold_up_the_manifest(events, monkeypatch):
-    # One agent of a service is frozen, and a ticket that is in force elsewhere within
-    # a second takes seven on every other VM of it: each asked for the manifest one
-    # peer after the other, and waited for the frozen one.
-    monkeypatch.setattr(manifest_reader, "CALL_TIMEOUT", 3600.0)
+def test_a_suspended_peer_does_not_delay_the_manifest(events, monkeypatch):
+    # With one suspended agent in a service, a ticket took seven seconds to take effect
+    # on every other VM instead of one: each queried one peer after the other for the
+    # manifest, and waited for the suspended one.
+    monkeypatch.setattr(manifest_reader, "CALL_TIMEOUT_SECONDS", 3600.0)
     first, second = rank(MANIFEST.digest, ["b", "c"])
 
     async def body():
-        frozen = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1")
-        host, port = frozen.sockets[0].getsockname()[:2]
+        suspended = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1")
+        host, port = suspended.sockets[0].getsockname()[:2]
         async with serving(second) as peer:
             channels = Channels(events.clock)
             peers = [Member(first, AGENT, f"{host}:{port}"), peer]
@@ -199,16 +200,16 @@
             reader = ManifestReader("a", origin, channels, lambda: peers, rng)
             manifest = await asyncio.wait_for(reader.read(MANIFEST.digest), 20)
             channels.close()
-        frozen.close()
+        suspended.close()
         return manifest
 
     assert asyncio.run(body()) == MANIFEST
 
 
-def test_a_read_that_stalls_is_given_up_when_a_peer_has_the_chunk(events):
-    # One VM serves the former version a minute longer than all others: its read from
-    # the origin stalled, another VM read the chunk in its place, and the first went
-    # on waiting for the origin until the read timed out.
+def test_a_stalled_read_is_cancelled_when_a_peer_has_the_chunk(events):
+    # One VM served the previous version a minute longer than all others: its read from
+    # the origin stalled, another VM read the chunk instead, and the first still waited
+    # until the read timed out.
     async def body():
         async with serving("b", texts=(), with_store=True) as (member, store):
             origin = StalledOrigin()
@@ -228,8 +229,8 @@
     assert set(transfer.sources) == {"b"}
 
 
-def test_chunks_that_come_are_not_thrown_away_for_a_late_word(events):
-    # Guards against chunks begun anew over a full link since a question was late there.
+def test_a_late_reply_does_not_discard_a_chunk_being_received(events):
+    # Guards against chunks fetched again over a full link because a poll was late.
     async def body():
         async with serving("b", SlowService, texts=TEXTS[:3]) as half:
             channels = Channels(events.clock)
