--- a/packages/wasabideck_policy/wasabideck_policy/audience.py
+++ b/packages/wasabideck_policy/wasabideck_policy/audience.py
@@ -1,9 +1,10 @@
-"""Which entries an agent tells of its engine: a bounded number at a time.
+"""Which entries an agent reports its engine to: a bounded number at a time.
 
-Subsetting: every agent would else tell every entry, and what each process sends and
-reads would grow with the number of the others. Entries near by take turns where they
-are many; of those far off each agent keeps a few, drawn by rendezvous hashing, so that
-every entry hears of some servers of each region and no two agents prefer the same.
+Subsetting: if every agent reported to every entry, what each process sends and reads
+would grow with the number of the other processes. Where an agent's own region has many
+entries, it reports to them round robin. Of the other regions' entries each agent keeps
+a few, drawn by rendezvous hashing, so that every entry receives reports of some servers
+of each region and no two agents prefer the same entries.
 """
 
 from __future__ import annotations
@@ -18,53 +19,55 @@
 
 __all__ = ["Audience", "audience_of"]
 
-# Entries that one word goes to, of the agent's own region and of the others.
-NEAR_MOST = 24
-FAR_MOST = 32
-# A big change is told to so many near by at once.
-URGENT_MOST = 48
+# Maximum number of entries that one report is sent to, in the agent's own region and
+# in the other regions.
+MAX_LOCAL_ENTRIES = 24
+MAX_REMOTE_ENTRIES = 32
+# Maximum number of entries of the own region that a major change is sent to at once.
+MAX_URGENT_ENTRIES = 48
 
 
 @define
 class Audience:
-    """Entries that one agent tells, and whose turn it is.
+    """Entries that one agent reports to, and which of them are next.
 
     Attributes
     ----------
     near, far : sequence of str
-        Addresses of entries in the agent's own region, and of those kept of others.
+        Addresses of all entries of the agent's own region, and of the entries of other
+        regions that the agent reports to.
     """
 
     near: Sequence[str] = ()
     far: Sequence[str] = ()
-    _turn: int = 0
+    _next_index: int = 0
 
     def take(self, near: Sequence[str], far: Sequence[str]) -> None:
-        """Take in who is there."""
+        """Set the entries to report to."""
         self.near, self.far = near, far
 
     def for_word(self, with_far: bool) -> list[str]:
-        """Who hears the next regular word."""
-        told = self._near_in_turn(NEAR_MOST)
-        return [*told, *self.far] if with_far else told
+        """Return the entries that receive the next regular report."""
+        targets = self._next_local(MAX_LOCAL_ENTRIES)
+        return [*targets, *self.far] if with_far else targets
 
     def for_change(self) -> list[str]:
-        """Who hears of a big change at once."""
-        return [*self._near_in_turn(URGENT_MOST), *self.far]
+        """Return the entries that receive a major change at once."""
+        return [*self._next_local(MAX_URGENT_ENTRIES), *self.far]
 
-    def _near_in_turn(self, most: int) -> list[str]:
-        if len(self.near) <= most:
+    def _next_local(self, limit: int) -> list[str]:
+        if len(self.near) <= limit:
             return list(self.near)
-        first = self._turn % len(self.near)
-        self._turn = first + most
-        return [*self.near[first:], *self.near[:first]][:most]
+        first = self._next_index % len(self.near)
+        self._next_index = first + limit
+        return [*self.near[first:], *self.near[:first]][:limit]
 
 
 def audience_of(
     vm: str, region: str, members: Iterable[Member]
 ) -> tuple[list[str], list[str]]:
-    """Addresses of the entries near a VM, and of those that it tells far off."""
+    """Return addresses of a region's entries, and of the remote ones to report to."""
     entries = [member for member in members if member.kind == ENTRY]
     near = sorted(m.address for m in entries if m.region == region)
     far = (m.address for m in entries if m.region != region)
-    return near, heapq.nlargest(FAR_MOST, far, key=score(vm))
+    return near, heapq.nlargest(MAX_REMOTE_ENTRIES, far, key=score(vm))
--- a/packages/wasabideck_policy/wasabideck_policy/baselines.py
+++ b/packages/wasabideck_policy/wasabideck_policy/baselines.py
@@ -1,4 +1,4 @@
-"""Plain ways to distribute weights, kept to compare the swarm with."""
+"""Simple distribution policies, kept as baselines for comparison with the swarm."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 __all__ = ["POLICIES"]
 
 TREE_FANOUT = 2
-ORIGIN_READS = 2
+MAX_ORIGIN_READS = 2
 
 
 def _from_origin(view: View, now: float, rng: random.Random) -> Fetch | None:
-    """Every VM reads every chunk from the origin."""
-    if view.sources[ORIGIN] >= ORIGIN_READS or now < view.origin_busy_until:
+    """Return a read of a random wanted chunk from the origin, which all VMs read."""
+    if view.sources[ORIGIN] >= MAX_ORIGIN_READS or now < view.origin_busy_until:
         return None
-    return Fetch(pick_bit(view.wanted, rng), ORIGIN, _origin_is_far(view))
+    return Fetch(pick_bit(view.wanted, rng), ORIGIN, _origin_is_remote(view))
 
 
 def _from_parent(view: View, now: float, rng: random.Random) -> Fetch | None:
-    """Each VM fetches from its place's parent in a fixed tree, in order."""
+    """Return a fetch of the first wanted chunk from the VM's parent in a fixed tree."""
     parent = _parent(view)
     if parent is None:
         return _from_origin(view, now, rng)
     peer = view.peers[parent]
-    there = peer.held & view.wanted
+    available = peer.held & view.wanted
     busy = view.sources[parent] >= view.limits.near or peer.busy_until > now
-    if busy or not there:
+    if busy or not available:
         return None
-    return Fetch(next(bits(there)), parent, peer.region != view.region)
+    return Fetch(next(bits(available)), parent, peer.region != view.region)
 
 
-def _ask_parent(view: View, now: float, rng: random.Random) -> list[str]:
+def _query_parent(view: View, now: float, rng: random.Random) -> list[str]:
     parent = _parent(view)
     return [] if parent is None else [parent]
 
 
 def _parent(view: View) -> str | None:
     vms = sorted([view.vm, *view.peers])
-    place = vms.index(view.vm)
-    return vms[(place - 1) // TREE_FANOUT] if place else None
+    position = vms.index(view.vm)
+    return vms[(position - 1) // TREE_FANOUT] if position else None
 
 
 def _from_random(view: View, now: float, rng: random.Random) -> Fetch | None:
-    """A random chunk of a random peer, from the origin when none is known."""
+    """Return a fetch of a random chunk from a random peer, else from the origin."""
     if sum(view.sources.values()) >= view.limits.near:
         return None
     free = [
@@ -60,22 +60,22 @@
     return Fetch(index, peer.vm, peer.region != view.region)
 
 
-def _ask_random(view: View, now: float, rng: random.Random) -> list[str]:
+def _query_random(view: View, now: float, rng: random.Random) -> list[str]:
     peers = sorted(view.peers)
     return rng.sample(peers, min(4, len(peers)))
 
 
-def _ask_nobody(view: View, now: float, rng: random.Random) -> list[str]:
+def _query_nobody(view: View, now: float, rng: random.Random) -> list[str]:
     return []
 
 
-def _origin_is_far(view: View) -> bool:
+def _origin_is_remote(view: View) -> bool:
     return bool(view.origin_region) and view.region != view.origin_region
 
 
 POLICIES: dict[str, Policy] = {
     "swarm": SWARM,
-    "origin": Policy(_from_origin, _ask_nobody),
-    "tree": Policy(_from_parent, _ask_parent),
-    "random": Policy(_from_random, _ask_random),
+    "origin": Policy(_from_origin, _query_nobody),
+    "tree": Policy(_from_parent, _query_parent),
+    "random": Policy(_from_random, _query_random),
 }
--- a/packages/wasabideck_policy/wasabideck_policy/claims.py
+++ b/packages/wasabideck_policy/wasabideck_policy/claims.py
@@ -1,9 +1,9 @@
-"""Life cycle of a claim: the right to run a call that may not be repeated.
+"""Life cycle of a claim: the exclusive right to run a call that must not be repeated.
 
-A claim is inserted just before the call runs. It has no expiry and is never taken
-from its holder, so a holder that was paused and wakes cannot run beside another.
-Only the holding attempt ends it: as done, with its answer, or as released when it
-is certain that nothing ran.
+A claim is inserted just before the call runs. It does not expire and is never taken
+from its holder, so a holder that was paused and resumes cannot run the call at the
+same time as another. Only the attempt that holds the claim ends it: as done, with the
+stored response, or as released when it is certain that nothing ran.
 """
 
 from __future__ import annotations
@@ -36,13 +36,14 @@
     attempt : str
         The attempt that holds the claim.
     answer : str
-        Stored answer of a run that is done, base64.
+        Stored response of a finished run, base64.
     address, incarnation : str
-        Where the holder answers, and as which process.
+        Address of the holder, and identifier of its process.
     barred : list of str
-        Attempts that may never take the claim: their entries gave them up.
+        Attempts that may never take the claim, since their entries abandoned them.
     draw : int
-        Writes of the row so far: a late one is told from the one that it repeats.
+        Number of writes of the row so far. It distinguishes a late write from the one
+        that it repeats.
     """
 
     organisation: str
@@ -60,7 +61,7 @@
 
 @frozen
 class Verdict:
-    """What to do with an attempt, given the claim that was found.
+    """What to do with an attempt, given the claim found in the table.
 
     Attributes
     ----------
@@ -73,21 +74,22 @@
 
 
 def claim_key(organisation: str, key: str) -> str:
-    """Row key of a claim.
+    """Return the row key of a claim.
 
-    The length goes first: a caller draws its keys itself, and with a plain joint
-    ``a/b`` and ``c`` would meet the row of ``a`` and ``b/c``.
+    It starts with the length of the organisation's name: callers choose their own
+    keys, and without the length, ``a/b`` with ``c`` and ``a`` with ``b/c`` would have
+    the same row key.
     """
     return f"{len(organisation)}:{organisation}/{key}"
 
 
 def released(claim: Claim) -> Claim:
-    """The claim, given back by its own attempt: nothing ran under it."""
+    """Return the claim as released by its own attempt: nothing ran under it."""
     return evolve(claim, state=RELEASED, answer="")
 
 
 def following(found: Claim | None, row: Claim) -> Claim:
-    """The row to write over the one found, which it carries on."""
+    """Return the row that replaces the one found, with its barred attempts."""
     if found is None:
         return evolve(row, draw=1)
     barred = [*found.barred, *(name for name in row.barred if name not in found.barred)]
@@ -95,7 +97,7 @@
 
 
 def judge(wanted: Claim, found: Claim) -> Verdict:
-    """Compare the claim wanted with the one that stands in the table."""
+    """Compare the requested claim with the one in the table."""
     if wanted.attempt in found.barred and found.state != DONE:
         return Verdict("give-up", found)
     if found.state == RELEASED:
@@ -104,8 +106,8 @@
         return Verdict("refuse", found)
     if found.state == DONE:
         return Verdict("replay", found)
-    # The insert's answer may have been lost after it took effect: a running claim
-    # of this very attempt is our own, and nobody else can hold it.
+    # The response to the insert may have been lost after it took effect. A running
+    # claim of the same attempt is therefore our own, and nobody else can hold it.
     if found.attempt == wanted.attempt:
         return Verdict("run", found)
     return Verdict("ask-holder", found)
--- a/packages/wasabideck_policy/wasabideck_policy/configuration.py
+++ b/packages/wasabideck_policy/wasabideck_policy/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: which request may go where, and for whom."""
+"""The operators' configuration: routes, services, caller limits and API keys."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Kind(Enum):
-    """What a route's requests are like, and so what may be repeated."""
+    """Kind of a route's requests, which decides whether they may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -30,20 +30,20 @@
 
 @frozen
 class Route:
-    """Where the requests of one host and path prefix go.
+    """The services to which requests for one host and path prefix are routed.
 
     Attributes
     ----------
     timeout, goal, pause : float
-        Seconds: the longest that a caller is kept waiting, the time within which an
-        answer (a stream's first event) is worth most, and the longest pause between
-        two events that a caller accepts.
+        Seconds: the maximum time that a caller waits, the target time for a response
+        (for a stream: its first event), and the maximum interval between two events
+        that a caller accepts.
     shares : tuple of (str, float)
         Services and their shares of the traffic.
     attempts : int
-        Most servers that one request may be sent to.
+        Maximum number of servers that one request may be sent to.
     resumable : bool
-        Whether another server can go on with a broken stream.
+        Whether another server can continue an interrupted stream.
     """
 
     name: str
@@ -65,7 +65,7 @@
         return self.kind is Kind.SAFE or (self.kind is Kind.STREAM and self.resumable)
 
     def draw_service(self, rng: random.Random) -> str:
-        """One of the services, each as often as its share says."""
+        """Return one of the services, drawn at random in proportion to the shares."""
         if len(self.shares) == 1:
             return self.shares[0][0]
         names, weights = zip(*self.shares, strict=True)
@@ -79,19 +79,20 @@
     Attributes
     ----------
     slots : int
-        Requests that an engine runs at once.
+        Maximum number of requests that an engine runs at once.
     step, step_per_request : float
-        Seconds of one token step, and what each running request adds to it.
+        Seconds per token step, and the seconds that each running request adds to it.
     read_rate : float
-        Prompt tokens read in a second.
+        Prompt tokens processed per second.
     stride : int
-        Token steps of one pass.
+        Token steps per pass.
     kv_capacity : int
-        Tokens that an engine's memory holds.
+        Number of tokens that fit into an engine's key-value cache.
     layers, chunks, chunk_bytes : int
-        Layers of the model, and the pieces that its weights consist of.
+        Number of layers of the model, number of chunks of its weights, and size of a
+        chunk.
     load_seconds : float
-        How long an engine takes to load whole weights.
+        Time that an engine takes to load complete weights.
     """
 
     model: str
@@ -109,7 +110,7 @@
 
 @frozen
 class OriginPlace:
-    """Where the origin of weights listens, and how fast it is (bytes a second)."""
+    """Address of the origin of weights, its data centre, and its bytes per second."""
 
     address: str
     data_centre: str
@@ -118,7 +119,7 @@
 
 @frozen
 class Service:
-    """A service that requests are routed to, or the origin of weights."""
+    """A service to which requests are routed, or the origin of weights."""
 
     name: str
     max_connections: int = 0
@@ -128,7 +129,7 @@
 
 @frozen
 class CallerLimits:
-    """What a caller may send, and how long it may take (bytes, seconds)."""
+    """Maximum sizes (bytes) and times (seconds) of what a caller sends."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -138,7 +139,7 @@
 
 @frozen
 class Organisation:
-    """Who a request is from; a lower priority number is more urgent."""
+    """The organisation that sent a request; a lower priority number is more urgent."""
 
     name: str
     priority: int | None = None
@@ -146,14 +147,14 @@
 
 @frozen
 class Configuration:
-    """One numbered configuration in full; a larger number replaces a smaller one.
+    """One complete, numbered configuration; a larger number replaces a smaller one.
 
     Attributes
     ----------
     routes : dict of str to tuple of Route
         Routes by host, the longest prefix first.
     keys : dict of str to Organisation, or None
-        Who holds which key; None when no key is asked for.
+        The organisation that owns each API key; None when no key is required.
     """
 
     number: int
@@ -163,13 +164,13 @@
     keys: Mapping[str, Organisation] | None = None
 
     def route(self, host: str, path: str) -> Route | None:
-        """The host's route with the longest prefix of the path, or None."""
+        """Return the host's route with the longest matching path prefix, or None."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def origin(self) -> OriginPlace | None:
-        """Where the origin of weights is, or None when there is none."""
-        places = (service.origin for service in self.services.values())
-        return next((place for place in places if place), None)
+        """Return the origin of weights, or None when there is none."""
+        origins = (service.origin for service in self.services.values())
+        return next((origin for origin in origins if origin), None)
--- a/packages/wasabideck_policy/wasabideck_policy/declarations.py
+++ b/packages/wasabideck_policy/wasabideck_policy/declarations.py
@@ -1,4 +1,4 @@
-"""Numbered declarations of the operators, merged from any source in any order."""
+"""The operators' numbered declarations, which may be merged in any order."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
     "weights_model",
 ]
 
-# What the operators' configuration touches.
+# Key of the operators' configuration.
 CONFIGURATION = "configuration"
 
 
 def weights_key(model: str) -> str:
-    """What a named version of a model's weights touches."""
+    """Return the key of the declared version of a model's weights."""
     return f"weights/{model}"
 
 
 def weights_model(key: str) -> str:
-    """The model whose weights a key of ``weights_key`` touches."""
+    """Return the model of a key that ``weights_key`` returned."""
     return key.partition("/")[2]
 
 
 @frozen
 class Declaration:
-    """The whole new state of one touched thing, as it was declared.
+    """The complete new state of one key, as it was declared.
 
     Attributes
     ----------
@@ -47,18 +47,18 @@
 
 @define
 class Declarations:
-    """The newest declaration of each touched thing; numbers only grow.
+    """The newest declaration of each key; its number never decreases.
 
-    The merge is commutative, idempotent and monotone: stale reads of the store,
-    repeats and what peers tell may come in any order and revert nothing.
+    The merge is commutative, idempotent and monotonic: stale reads of the store,
+    duplicates and gossip messages may arrive in any order and revert nothing.
     """
 
     _newest: dict[str, Declaration] = field(factory=dict)
 
-    def merge(self, found: Iterable[Declaration]) -> list[Declaration]:
-        """Take in declarations; returns those that replaced what was known."""
+    def merge(self, received: Iterable[Declaration]) -> list[Declaration]:
+        """Merge declarations; return those that are newer than the known ones."""
         newer = []
-        for declaration in found:
+        for declaration in received:
             known = self._newest.get(declaration.key)
             if known is None or declaration.number > known.number:
                 self._newest[declaration.key] = declaration
@@ -66,11 +66,11 @@
         return newer
 
     def numbers(self) -> dict[str, int]:
-        """Newest number of each touched thing."""
+        """Return the newest number of each key."""
         return {key: known.number for key, known in self._newest.items()}
 
     def newer_than(self, numbers: dict[str, int]) -> list[Declaration]:
-        """Declarations that whoever has these numbers lacks."""
+        """Return the declarations that are newer than the given numbers."""
         return [
             known
             for key, known in sorted(self._newest.items())
--- a/packages/wasabideck_policy/wasabideck_policy/deliveries.py
+++ b/packages/wasabideck_policy/wasabideck_policy/deliveries.py
@@ -1,4 +1,4 @@
-"""Delivery rows: who got which weights, when, and from where."""
+"""Delivery rows: which VM received which weights, when, and from which sources."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @define
 class Delivery:
-    """One VM's delivery of one ticket's weights; times are wall seconds.
+    """One VM's delivery of one ticket's weights; times are wall-clock seconds.
 
     Attributes
     ----------
@@ -31,5 +31,5 @@
 
 
 def row_key(delivery: Delivery) -> str:
-    """Row key: by ticket first, so that a report reads one range."""
+    """Return the row key, which starts with the ticket: a report reads one range."""
     return f"{delivery.ticket:020d}/{delivery.service}/{delivery.vm}/{delivery.slot}"
--- a/packages/wasabideck_policy/wasabideck_policy/distribution.py
+++ b/packages/wasabideck_policy/wasabideck_policy/distribution.py
@@ -1,4 +1,4 @@
-"""Which chunk a VM fetches next, from whom, and whose holdings it asks for."""
+"""Which chunk a VM fetches next, from which source, and which peers it queries."""
 
 from __future__ import annotations
 
@@ -7,39 +7,44 @@
 
 from attrs import frozen
 
-from .views import ORIGIN, Duties, Fetch, Peer, View, bits, pick_bit
-
-__all__ = ["SWARM", "Policy", "may_reach_out", "next_fetch", "whom_to_ask"]
-
-# A view counts at most so many holders at a time, so that a decision's cost does not
-# grow with the fleet.
-WEIGHED_HOLDERS = 64
-ASKS_STARVING = 4
-ASKS_FED = 1
-CHECKS = 2
-# A VM asks those before it in rank again after so many seconds without word.
-CHECK_SECONDS = 1.0
-# The first in rank for a chunk is taken to be too slow after so many times of a whole
-# copy on a link. Its share is a small part of a copy; while it gets that done, however
-# slowly, there is progress, and a region waited 9 s for the chunks of one VM whose
-# link had narrowed to a quarter, which others bring in 1 s.
-OVERDUE_COPIES = 0.6
-# On fast links latencies decide, and no VM is slow because of them (seconds).
-OVERDUE_FLOOR_SECONDS = 1.5
+from .views import ORIGIN, Fetch, FetchRanking, Peer, View, bits, pick_bit
+
+__all__ = ["SWARM", "Policy", "may_fetch_from_outside", "next_fetch", "whom_to_ask"]
+
+# Maximum number of holders that one decision considers, so that its cost does not grow
+# with the fleet.
+MAX_HOLDERS_CONSIDERED = 64
+# Number of peers queried for their holdings at a time: more while no known peer holds a
+# wanted chunk.
+STARVED_QUERIES = 4
+SUPPLIED_QUERIES = 1
+MAX_RANK_CHECKS = 2
+# Interval after which a VM queries again a VM before it in rank that it has received
+# nothing from.
+RANK_CHECK_SECONDS = 1.0
+# The first VM in rank for a chunk is considered too slow after this many times the
+# duration of one complete copy on its link, although its share is only a small part of
+# a copy. Waiting for a lack of progress is not enough, since a slow VM still makes
+# some: a region waited 9 s for the chunks of one VM whose link was reduced to a
+# quarter of its rate, which other VMs can fetch in 1 s.
+OVERDUE_COPY_RATIO = 0.6
+# On fast links latency dominates the duration, and does not make a VM too slow.
+MIN_OVERDUE_SECONDS = 1.5
 
 
 @frozen
 class Policy:
-    """A way to distribute weights.
+    """A policy by which weights are distributed.
 
     Attributes
     ----------
     fetch : callable
-        The next fetch for a view, ``now`` and ``rng``; None to wait.
+        Returns the next fetch for a view, ``now`` and ``rng``; None to wait.
     ask : callable
-        The VMs to ask for their holdings now.
+        Returns the VMs to query for their holdings now.
     shares : bool
-        Whether a VM that has sent its share refuses those who are not in need.
+        Whether a VM that has sent its fair share refuses requests of VMs that are not
+        starved.
     """
 
     fetch: Callable[[View, float, random.Random], Fetch | None]
@@ -48,221 +53,248 @@
 
 
 def next_fetch(view: View, now: float, rng: random.Random) -> Fetch | None:
-    """The next fetch of a VM, or None when it has to wait.
+    """Return the next fetch of a VM, or None when it has to wait.
 
-    Duties go first, as everyone waits for them: reads from the origin of the chunks
-    that this VM owns, then chunks that it brings into its region. All else comes
-    from the data centre, then the region, rarest first with random ties.
+    Chunks that other VMs wait for come first: reads from the origin of the chunks
+    that this VM owns, then chunks that it fetches into its region. All other chunks
+    come from the data centre, else from the region, rarest first with random ties.
     """
     wanted = view.wanted
     if not wanted:
         return None
     return (
         _read_origin(view, wanted, now)
-        or _bring_far(view, wanted, now, rng)
-        or _fetch_near(view, wanted, now, rng)
+        or _fetch_into_region(view, wanted, now, rng)
+        or _fetch_in_region(view, wanted, now, rng)
         or _read_spare(view, wanted, now, rng)
     )
 
 
 def whom_to_ask(view: View, now: float, rng: random.Random) -> list[str]:
-    """Peers whose holdings to ask for now: a few, however large the fleet is."""
+    """Return the few peers to query for their holdings now, at any fleet size."""
     if not view.wanted:
         return []
     useful = any(p.held & view.wanted for p in view.holders.values())
-    near = [p for p in view.peers.values() if p.region == view.region]
-    asked = _draw(view, near, ASKS_FED if useful else ASKS_STARVING, now, rng)
-    if view.bringers.first:
-        far = [p for p in view.peers.values() if p.region != view.region]
-        asked += _draw(view, far, CHECKS, now, rng)
-    return list(dict.fromkeys([*_checks(view, now), *asked]))
+    local = [p for p in view.peers.values() if p.region == view.region]
+    queried = _sample_incomplete(
+        view, local, SUPPLIED_QUERIES if useful else STARVED_QUERIES, now, rng
+    )
+    if view.region_fetchers.first:
+        remote = [p for p in view.peers.values() if p.region != view.region]
+        queried += _sample_incomplete(view, remote, MAX_RANK_CHECKS, now, rng)
+    return list(dict.fromkeys([*_rank_checks(view, now), *queried]))
 
 
-def may_reach_out(view: View, duties: Duties, index: int, now: float) -> bool:
+def may_fetch_from_outside(
+    view: View, ranking: FetchRanking, index: int, now: float
+) -> bool:
     """Whether this VM may fetch a chunk from outside its region.
 
-    The first in rank may at once. Another may when all before it are lost, or after
-    a delay that doubles with each rank: a short one without any progress, or one that
-    those before it would not need on a sound link.
+    The first VM in rank may do so at once. A later one may when all VMs before it are
+    lost, or after a delay that doubles with each rank: either a short delay without
+    any progress of the transfer, or a longer one, within which the VMs before it would
+    have finished on healthy links.
     """
-    place = duties.places[index]
-    if place <= 0:
-        return place == 0
-    times = 2**place - 1
+    position = ranking.positions[index]
+    if position <= 0:
+        return position == 0
+    times = 2**position - 1
     if now - max(view.begun, view.progress_at) >= view.limits.patience * times:
         return True
-    if now - view.begun >= _overdue(view) * times:
+    if now - view.begun >= _overdue_seconds(view) * times:
         return True
-    before = (view.peers.get(vm) for vm in duties.ranks[index][:place])
+    before = (view.peers.get(vm) for vm in ranking.ranks[index][:position])
     return all(peer is None or peer.lost for peer in before)
 
 
-def _overdue(view: View) -> float:
-    """Seconds after which the first in rank should have done its duties."""
-    copy = len(view.digests) * view.limits.slot
-    return max(OVERDUE_COPIES * copy, OVERDUE_FLOOR_SECONDS)
+def _overdue_seconds(view: View) -> float:
+    """Return the seconds after which the first in rank should have fetched its chunks.
 
+    They are counted from the start of the transfer.
+    """
+    copy_seconds = len(view.digests) * view.limits.slot
+    return max(OVERDUE_COPY_RATIO * copy_seconds, MIN_OVERDUE_SECONDS)
 
-def _due(view: View, duties: Duties, missing: int, now: float) -> int:
-    """Chunks among the missing that this VM may fetch from outside."""
-    due = missing & duties.first
+
+def _permitted(view: View, ranking: FetchRanking, missing: int, now: float) -> int:
+    """Return the missing chunks that this VM may fetch from outside its region."""
+    permitted = missing & ranking.first
     waited = now - max(view.begun, view.progress_at)
-    late = waited >= view.limits.patience or now - view.begun >= _overdue(view)
+    late = waited >= view.limits.patience or now - view.begun >= _overdue_seconds(view)
     if late or any(p.lost for p in view.peers.values()):
-        for index in bits(missing & ~due):
-            if may_reach_out(view, duties, index, now):
-                due |= 1 << index
-    return due
+        for index in bits(missing & ~permitted):
+            if may_fetch_from_outside(view, ranking, index, now):
+                permitted |= 1 << index
+    return permitted
 
 
 def _read_origin(view: View, wanted: int, now: float) -> Fetch | None:
     busy = view.sources[ORIGIN] >= view.limits.reads or now < view.origin_busy_until
-    unseen = wanted & ~view.seen
-    if busy or not unseen:
+    unavailable = wanted & ~view.seen
+    if busy or not unavailable:
         return None
-    for index in bits(_due(view, view.owners, unseen, now)):
-        if _checked(view, index, now):
+    for index in bits(_permitted(view, view.owners, unavailable, now)):
+        if _unread_by_next(view, index, now):
             far = bool(view.origin_region) and view.region != view.origin_region
             return Fetch(index, ORIGIN, far)
     return None
 
 
-def _checked(view: View, index: int, now: float) -> bool:
-    """Whether the next in rank does not have the chunk already.
+def _unread_by_next(view: View, index: int, now: float) -> bool:
+    """Whether the next VM in rank has not already started to read the chunk.
 
-    A VM that joins late may come first in rank for a chunk that the one after it has
-    read long ago; reading it again would cost the origin a copy.
+    In the first second of a transfer this is known only after a report of that VM. A
+    VM that joins late may be the first in rank for a chunk that the VM after it has
+    read long ago. Reading it again would cost the origin another copy.
     """
-    after = _after(view, view.owners, index)
-    if after is None or now - view.begun >= CHECK_SECONDS:
-        return after is None or not after.reading >> index & 1
-    return after.heard_at >= view.begun and not after.reading >> index & 1
+    successor = _next_in_rank(view, view.owners, index)
+    if successor is None or now - view.begun >= RANK_CHECK_SECONDS:
+        return successor is None or not successor.reading >> index & 1
+    return successor.heard_at >= view.begun and not successor.reading >> index & 1
 
 
-def _after(view: View, duties: Duties, index: int) -> Peer | None:
-    """The next in rank after this VM that is not lost."""
-    later = duties.ranks[index][duties.places[index] + 1 :]
+def _next_in_rank(view: View, ranking: FetchRanking, index: int) -> Peer | None:
+    """Return the next VM in rank after this one that is not lost, or None."""
+    later = ranking.ranks[index][ranking.positions[index] + 1 :]
     peers = (view.peers[vm] for vm in later if vm in view.peers)
     return next((peer for peer in peers if not peer.lost), None)
 
 
-def _bring_far(view: View, wanted: int, now: float, rng: random.Random) -> Fetch | None:
-    lacking = wanted & ~view.seen_near
-    if view.far_active >= view.limits.far or not lacking:
+def _fetch_into_region(
+    view: View, wanted: int, now: float, rng: random.Random
+) -> Fetch | None:
+    lacking = wanted & ~view.available_in_region
+    if view.cross_region_active >= view.limits.far or not lacking:
         return None
-    far = [p for p in view.holders.values() if p.region != view.region]
-    free = [p for p in far if p.busy_until <= now and p.held & lacking]
-    there = 0
+    remote = [p for p in view.holders.values() if p.region != view.region]
+    free = [p for p in remote if p.busy_until <= now and p.held & lacking]
+    available = 0
     for peer in free:
-        there |= peer.held & lacking
-    due = _due(view, view.bringers, there, now)
-    if not due:
+        available |= peer.held & lacking
+    permitted = _permitted(view, view.region_fetchers, available, now)
+    if not permitted:
         return None
-    index = pick_bit(due, rng)
+    index = pick_bit(permitted, rng)
     holders = [p for p in free if p.held >> index & 1]
-    return Fetch(index, _least_sent(holders, rng).vm, far=True)
+    return Fetch(index, _less_loaded(holders, rng).vm, far=True)
 
 
-def _fetch_near(
+def _fetch_in_region(
     view: View, wanted: int, now: float, rng: random.Random
 ) -> Fetch | None:
-    near = sum(view.sources.values()) - view.sources[ORIGIN] - view.far_active
-    if near >= view.limits.near:
+    active = (
+        sum(view.sources.values()) - view.sources[ORIGIN] - view.cross_region_active
+    )
+    if active >= view.limits.near:
         return None
     known = [p for p in view.holders.values() if p.region == view.region]
-    if len(known) > WEIGHED_HOLDERS:
-        known = rng.sample(known, WEIGHED_HOLDERS)
+    if len(known) > MAX_HOLDERS_CONSIDERED:
+        known = rng.sample(known, MAX_HOLDERS_CONSIDERED)
     idle = [p for p in known if view.sources[p.vm] < view.limits.a_peer]
     free = [p for p in idle if p.busy_until <= now and p.held & wanted]
-    same = [p for p in free if p.data_centre == view.data_centre]
-    free = same or free
+    in_data_centre = [p for p in free if p.data_centre == view.data_centre]
+    free = in_data_centre or free
     if not free:
         return None
     index = _rarest(wanted, free, known, rng)
     holders = [p for p in free if p.held >> index & 1]
-    return Fetch(index, _least_sent(holders, rng).vm)
+    return Fetch(index, _less_loaded(holders, rng).vm)
 
 
 def _read_spare(
     view: View, wanted: int, now: float, rng: random.Random
 ) -> Fetch | None:
-    """A chunk that others hold, from the origin, when its link has nothing to do.
+    """Return the origin read of a chunk that others hold, while its link is idle.
 
-    Only once every chunk has been seen, so that no first read waits for it.
+    Such a read starts only once every wanted chunk is held by some peer, so that it
+    delays no first read of a chunk.
     """
-    if view.spare_read >= view.limits.spare or wanted & ~view.seen:
+    if view.spare_reads >= view.limits.spare or wanted & ~view.seen:
         return None
     if view.sources[ORIGIN] >= view.limits.reads or now < view.origin_busy_until:
         return None
-    near = [p for p in view.holders.values() if p.region == view.region]
-    index = _rarest(wanted, near, near, rng) if near else pick_bit(wanted, rng)
+    local = [p for p in view.holders.values() if p.region == view.region]
+    index = _rarest(wanted, local, local, rng) if local else pick_bit(wanted, rng)
     return Fetch(index, ORIGIN, spare=True)
 
 
 def _rarest(
     wanted: int, free: Sequence[Peer], known: Sequence[Peer], rng: random.Random
 ) -> int:
-    """The wanted chunk that fewest of the known hold; ties are broken at random."""
-    there = 0
+    """Return the wanted chunk with the fewest known holders; ties break at random."""
+    available = 0
     for peer in free:
-        there |= peer.held
-    there = there & wanted or wanted
-    # Bit by bit counting, saturated at four: at least one, two, three holders.
+        available |= peer.held
+    available = available & wanted or wanted
+    # Counts the holders of all chunks at once, as masks of the chunks that have at
+    # least one, two and three holders.
     one = two = three = 0
     for peer in known:
         three |= two & peer.held
         two |= one & peer.held
         one |= peer.held
-    for level in (~two, ~three):
-        if there & level:
-            return pick_bit(there & level, rng)
-    return pick_bit(there, rng)
+    for rare in (~two, ~three):
+        if available & rare:
+            return pick_bit(available & rare, rng)
+    return pick_bit(available, rng)
 
 
-def _least_sent(holders: Sequence[Peer], rng: random.Random) -> Peer:
-    """Of two drawn at random the one that has sent less.
+def _less_loaded(holders: Sequence[Peer], rng: random.Random) -> Peer:
+    """Return the one of two random holders that has sent fewer chunks.
 
-    The least of all would be drawn by everyone at once, as views are alike.
+    Power of two choices: all VMs have similar views, so they would all choose the
+    least loaded of all holders at the same time.
     """
-    drawn = rng.sample(holders, min(2, len(holders)))
-    return min(drawn, key=lambda peer: peer.sent)
+    sample = rng.sample(holders, min(2, len(holders)))
+    return min(sample, key=lambda peer: peer.sent)
 
 
-def _draw(
+def _sample_incomplete(
     view: View, peers: Iterable[Peer], count: int, now: float, rng: random.Random
 ) -> list[str]:
-    """Some peers that may have news, drawn afresh from all."""
+    """Return random peers that are not known to hold all chunks.
+
+    A peer that holds all chunks has nothing new to report. Lost peers are left out
+    until their backoff ends.
+    """
     whole = view.whole
-    open_ones = [
+    candidates = [
         p.vm for p in peers if p.held != whole and (not p.lost or p.busy_until <= now)
     ]
-    return rng.sample(open_ones, min(count, len(open_ones)))
+    return rng.sample(candidates, min(count, len(candidates)))
 
 
-def _checks(view: View, now: float) -> list[str]:
-    """Neighbours in rank, for duties that nobody is known to have done."""
+def _rank_checks(view: View, now: float) -> list[str]:
+    """Return neighbours in rank to query, for chunks that nobody is known to hold."""
     checks: dict[str, None] = {}
-    for missing, duties in (
+    for missing, ranking in (
         (view.wanted & ~view.seen, view.owners),
-        (view.wanted & ~view.seen_near, view.bringers),
+        (view.wanted & ~view.available_in_region, view.region_fetchers),
     ):
-        for index in bits(missing & duties.close):
-            if len(checks) >= CHECKS:
+        for index in bits(missing & ranking.monitored):
+            if len(checks) >= MAX_RANK_CHECKS:
                 return list(checks)
-            checks.update(dict.fromkeys(_neighbours(view, duties, index, now)))
-    return list(checks)[:CHECKS]
+            checks.update(dict.fromkeys(_rank_neighbours(view, ranking, index, now)))
+    return list(checks)[:MAX_RANK_CHECKS]
 
 
-def _neighbours(view: View, duties: Duties, index: int, now: float) -> list[str]:
-    """The last before this VM that is not lost, and the first after it at first."""
-    place = duties.places[index]
-    earlier = reversed(duties.ranks[index][:place])
+def _rank_neighbours(
+    view: View, ranking: FetchRanking, index: int, now: float
+) -> list[str]:
+    """Return the VMs next to this one in rank from which a report is due.
+
+    These are the nearest VM before this one that is not lost and, if this VM is the
+    first in rank, the next VM after it, as long as nothing was received from it since
+    the start of the transfer.
+    """
+    position = ranking.positions[index]
+    earlier = reversed(ranking.ranks[index][:position])
     before = (view.peers[vm] for vm in earlier if vm in view.peers)
-    found = [p for p in before if not p.lost][:1]
-    after = _after(view, duties, index) if place == 0 else None
-    if after is not None and after.heard_at < view.begun:
-        found.append(after)
-    return [p.vm for p in found if now - p.heard_at >= CHECK_SECONDS]
+    neighbours = [p for p in before if not p.lost][:1]
+    successor = _next_in_rank(view, ranking, index) if position == 0 else None
+    if successor is not None and successor.heard_at < view.begun:
+        neighbours.append(successor)
+    return [p.vm for p in neighbours if now - p.heard_at >= RANK_CHECK_SECONDS]
 
 
 SWARM = Policy(next_fetch, whom_to_ask, shares=True)
--- a/packages/wasabideck_policy/wasabideck_policy/fetch_window.py
+++ b/packages/wasabideck_policy/wasabideck_policy/fetch_window.py
@@ -1,4 +1,4 @@
-"""How many chunks a VM fetches at once, by how long they take."""
+"""How many chunks a VM fetches concurrently, depending on how long they take."""
 
 from __future__ import annotations
 
@@ -6,37 +6,38 @@
 
 __all__ = ["FetchWindow"]
 
-# A chunk takes five slots of a link that is shared by five fetches, and rarely more
-# than seven. One that took twice that waited behind others on a link that has become
-# slower, and so does each live request and each word that a caller has left: on a link
-# at a quarter of its rate they were 1.7 s late.
-SLOW_SLOTS = 13.0
-FAST_SLOTS = 7.0
+# A slot is the time that one chunk takes on an idle link. On a link shared by five
+# fetches a chunk takes five slots, and rarely more than seven. A chunk that takes twice
+# as long was queued behind others on a link that has become slower. Live requests and
+# the cancellations of disconnected callers then wait in the same queue: on a link at a
+# quarter of its rate they were 1.7 s late.
+SLOW_FETCH_SLOTS = 13.0
+FAST_FETCH_SLOTS = 7.0
 
 
 @define
 class FetchWindow:
-    """Fetches at once: one less after a slow one, one more after a fast one.
+    """Limit of concurrent fetches: reduced by a slow fetch, raised by a fast one.
 
     Attributes
     ----------
-    most : int
-        Fetches at once on a link that is as fast as it should be.
+    max_fetches : int
+        Maximum concurrent fetches, used on a link with its nominal rate.
     slot : float
         Seconds that one chunk takes on such a link.
     """
 
-    most: int
+    max_fetches: int
     slot: float
     limit: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Begin with all."""
-        self.limit = self.most
+        """Start with the maximum."""
+        self.limit = self.max_fetches
 
     def took(self, seconds: float) -> None:
-        """Take in how long a fetch took."""
-        if seconds > SLOW_SLOTS * self.slot:
+        """Adjust the limit to the duration of a fetch."""
+        if seconds > SLOW_FETCH_SLOTS * self.slot:
             self.limit = max(1, self.limit - 1)
-        elif seconds < FAST_SLOTS * self.slot:
-            self.limit = min(self.most, self.limit + 1)
+        elif seconds < FAST_FETCH_SLOTS * self.slot:
+            self.limit = min(self.max_fetches, self.limit + 1)
--- a/packages/wasabideck_policy/wasabideck_policy/manifests.py
+++ b/packages/wasabideck_policy/wasabideck_policy/manifests.py
@@ -1,4 +1,4 @@
-"""Manifests: which chunks make one whole version of weights."""
+"""Manifests: the list of chunks that make up one version of weights."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 MAX_CHUNKS = 100_000
 # Characters of a SHA-256 digest in hexadecimal.
-DIGEST_LENGTH = 64
+DIGEST_CHARACTERS = 64
 
 
 class CorruptChunk(WasabideckError):
-    """A chunk's bytes do not have the digest that the manifest names."""
+    """A chunk's bytes do not have the digest that the manifest lists."""
 
     def __init__(self, digest: str, source: str):
         super().__init__(f"chunk {digest[:12]} from {source or 'origin'} is corrupt")
@@ -42,7 +42,7 @@
 
 
 class CorruptManifest(WasabideckError):
-    """A manifest is not what its digest names."""
+    """A manifest's bytes do not match its digest, or are not a valid manifest."""
 
     def __init__(self, digest: str, why: str):
         super().__init__(f"manifest {digest[:12]}: {why}")
@@ -61,12 +61,12 @@
 
     @cached_property
     def digest(self) -> str:
-        """SHA-256 of the manifest's canonical JSON."""
+        """Return the SHA-256 of the manifest's canonical JSON."""
         return hashlib.sha256(manifest_to_json(self)).hexdigest()
 
     @cached_property
     def places(self) -> dict[str, list[int]]:
-        """Indices at which each chunk stands; equal chunks stand at several."""
+        """Return the indices of each chunk; equal chunks occur at several indices."""
         places: dict[str, list[int]] = {}
         for index, digest in enumerate(self.chunks):
             places.setdefault(digest, []).append(index)
@@ -74,7 +74,7 @@
 
 
 def manifest_to_json(manifest: Manifest) -> bytes:
-    """Canonical JSON, which the manifest's digest is taken over."""
+    """Return the canonical JSON, from which the manifest's digest is computed."""
     table = {
         "model": manifest.model,
         "version": manifest.version,
@@ -86,15 +86,15 @@
 
 
 def manifest_from_json(data: bytes, digest: str) -> Manifest:
-    """Manifest whose bytes have the given digest.
+    """Return the manifest encoded in the bytes, which must have the given digest.
 
     Raises
     ------
     CorruptManifest
-        The bytes have another digest, or are no manifest.
+        The bytes have another digest, or are not a manifest.
     """
     if hashlib.sha256(data).hexdigest() != digest:
-        raise CorruptManifest(digest, "the bytes have another digest")
+        raise CorruptManifest(digest, "the bytes do not have this digest")
     try:
         table: Mapping = json.loads(data)
         chunks = tuple(table.pop("chunks"))
@@ -102,77 +102,82 @@
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
         raise CorruptManifest(digest, str(exc)) from exc
     if not 0 < len(chunks) <= MAX_CHUNKS:
-        raise CorruptManifest(digest, f"{len(chunks)} chunks")
+        raise CorruptManifest(digest, f"has an invalid number of chunks: {len(chunks)}")
     return manifest
 
 
 def numbered_name(model: str, version: str | int) -> str:
-    """What a numbered version's manifest is asked for by; never a digest's form."""
+    """Return the name by which a numbered version's manifest is requested.
+
+    It never has the form of a digest.
+    """
     return f"{model}/{version}"
 
 
 def numbered_from_json(data: bytes, model: str, version: int) -> Manifest:
-    """Manifest of a numbered version, whose digest nobody has named beforehand.
+    """Return the manifest of a numbered version, whose digest is not known beforehand.
 
     Raises
     ------
     CorruptManifest
-        The bytes are no manifest, or one of another version.
+        The bytes are not a manifest, or are the manifest of another version.
     """
     digest = hashlib.sha256(data).hexdigest()
     manifest = manifest_from_json(data, digest)
-    named = numbered_name(manifest.model, manifest.version)
-    if named != numbered_name(model, version):
-        raise CorruptManifest(digest, f"is of {named}")
-    if not all(isinstance(c, str) and len(c) == DIGEST_LENGTH for c in manifest.chunks):
+    actual = numbered_name(manifest.model, manifest.version)
+    if actual != numbered_name(model, version):
+        raise CorruptManifest(digest, f"belongs to another version: {actual}")
+    if not all(
+        isinstance(c, str) and len(c) == DIGEST_CHARACTERS for c in manifest.chunks
+    ):
         raise CorruptManifest(digest, "chunks must be digests")
     return manifest
 
 
 @frozen
 class Word:
-    """What one agent says a numbered version's manifest is.
+    """A numbered version's manifest, as reported by one agent.
 
     Attributes
     ----------
     whole : bool
-        Whether it holds all chunks of it, which shows that the manifest is good.
+        Whether the agent holds all chunks, which shows that the manifest is valid.
     """
 
     manifest: Manifest
     whole: bool = False
 
 
-def likeliest(words: Sequence[Word]) -> Manifest | None:
-    """The manifest that most say; none when nobody says anything.
+def likeliest(reports: Sequence[Word]) -> Manifest | None:
+    """Return the manifest that most agents report; None without reports.
 
-    Any of them may have been read spoilt, and nothing names the right digest. One
-    that somebody holds whole is right: a spoilt one names a chunk that nobody has.
-    The earlier word wins among as many.
+    Each manifest may be corrupt since it was read, and the right digest is not known.
+    A manifest of which an agent holds all chunks is valid: a corrupt one would list a
+    chunk that nobody has. Among equally frequent manifests the earliest report wins.
     """
-    shown = [word for word in words if word.whole]
-    counted = Counter(word.manifest.digest for word in shown or words)
-    if not counted:
+    complete = [report for report in reports if report.whole]
+    counts = Counter(report.manifest.digest for report in complete or reports)
+    if not counts:
         return None
-    digest = max(counted, key=counted.__getitem__)
-    return next(w.manifest for w in words if w.manifest.digest == digest)
+    digest = max(counts, key=counts.__getitem__)
+    return next(r.manifest for r in reports if r.manifest.digest == digest)
 
 
-def agreed(words: Sequence[Word]) -> Manifest | None:
-    """A manifest that one agent holds whole, or that two say; none if there is none.
+def agreed(reports: Sequence[Word]) -> Manifest | None:
+    """Return a manifest that two agents report, or one that holds all its chunks.
 
-    A single word may have been read spoilt, and whoever takes it fetches a chunk that
-    nobody has.
+    None if there is no such manifest. A manifest that only one agent reports may be
+    corrupt since it was read; a VM that used it would request a chunk that nobody has.
     """
-    for word in words:
-        if word.whole:
-            return word.manifest
-    counted = Counter(word.manifest.digest for word in words)
-    return next((w.manifest for w in words if counted[w.manifest.digest] > 1), None)
+    for report in reports:
+        if report.whole:
+            return report.manifest
+    counts = Counter(report.manifest.digest for report in reports)
+    return next((r.manifest for r in reports if counts[r.manifest.digest] > 1), None)
 
 
 def chunk_digest(data: bytes) -> str:
-    """SHA-256 of a chunk's bytes, hexadecimal."""
+    """Return the SHA-256 of a chunk's bytes, hexadecimal."""
     return hashlib.sha256(data).hexdigest()
 
 
--- a/packages/wasabideck_policy/wasabideck_policy/membership.py
+++ b/packages/wasabideck_policy/wasabideck_policy/membership.py
@@ -1,4 +1,4 @@
-"""The live VMs, and who among them reads the table, asks and tells whom."""
+"""The live VMs, and which of them read the table and exchange state with whom."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 ENTRY = "entry"
 AGENT = "agent"
 POLLERS = 3
-WATCHED = 3
-FANOUT_NEAR = 3
-FANOUT_FAR = 1
+WATCHED_ENTRIES = 3
+LOCAL_FANOUT = 3
+REMOTE_FANOUT = 1
 FRESH_SECONDS = 3.0
-WITNESSES = 2
+REQUIRED_PEERS = 2
 SET_BACK_SECONDS = 5.0
 
 
 @frozen
 class Member:
-    """One process of the system, as the platform's list gives it."""
+    """One process of the deployment, as listed by the platform."""
 
     vm: str
     kind: str
@@ -40,40 +40,41 @@
 
 
 def polls(vm: str, data_centre: str, members: Iterable[Member]) -> list[Member]:
-    """The few entries of a data centre that read the table's head for all in it.
+    """Return the few entries that poll the table's head for their data centre.
 
-    ``vm`` counts as live, so that an entry which the lagging list lacks reads too.
+    ``vm`` counts as live, so that an entry that the list does not contain yet polls
+    as well.
     """
-    found = _live_entries(m for m in members if m.data_centre == data_centre)
-    ranked = rank(data_centre, {*found, vm})[:POLLERS]
-    return [found.get(name) or Member(name, ENTRY, "") for name in ranked]
+    entries = _live_entries(m for m in members if m.data_centre == data_centre)
+    ranked = rank(data_centre, {*entries, vm})[:POLLERS]
+    return [entries.get(name) or Member(name, ENTRY, "") for name in ranked]
 
 
 def tell(
     vm: str, data_centre: str, members: Iterable[Member], rng: random.Random
 ) -> list[Member]:
-    """The entries that an entry pushes a change to: most near, some far."""
+    """Return the entries that an entry pushes a change to: mostly local ones."""
     others = [m for m in _live_entries(members).values() if m.vm != vm]
-    near = [m for m in others if m.data_centre == data_centre]
-    far = [m for m in others if m.data_centre != data_centre]
+    local = [m for m in others if m.data_centre == data_centre]
+    remote = [m for m in others if m.data_centre != data_centre]
     return [
-        *rng.sample(near, min(FANOUT_NEAR, len(near))),
-        *rng.sample(far, min(FANOUT_FAR, len(far))),
+        *rng.sample(local, min(LOCAL_FANOUT, len(local))),
+        *rng.sample(remote, min(REMOTE_FANOUT, len(remote))),
     ]
 
 
 @define
 class Watch:
-    """Which entries failed lately, so that others are asked in their place."""
+    """Entries that failed recently, so that others are queried instead."""
 
     _failed_at: dict[str, float] = field(factory=dict)
 
     def failed(self, vm: str, now: float) -> None:
-        """Set an entry back that gave no answer."""
+        """Record that an entry did not respond."""
         self._failed_at[vm] = now
 
     def usable(self, vm: str, now: float) -> bool:
-        """Whether an entry has not failed lately."""
+        """Whether an entry has not failed recently."""
         failed_at = self._failed_at.get(vm)
         return failed_at is None or now - failed_at > SET_BACK_SECONDS
 
@@ -81,31 +82,33 @@
 def watched(
     vm: str, members: Iterable[Member], watch: Watch, now: float
 ) -> Sequence[Member]:
-    """The few entries that an agent asks; one that failed lately comes last."""
-    found = _live_entries(members)
-    ranked = rank(vm, found)
+    """Return the few entries that an agent queries; recently failed ones come last."""
+    entries = _live_entries(members)
+    ranked = rank(vm, entries)
     ranked.sort(key=lambda name: not watch.usable(name, now))
-    return [found[name] for name in ranked[:WATCHED]]
+    return [entries[name] for name in ranked[:WATCHED_ENTRIES]]
 
 
 @define
 class Heard:
     """Whether a starting process knows enough of the tickets to act on them.
 
-    A peer that was frozen answers with the state of a minute ago. So one answer
-    counts alone only when it reflects the table's head of the last seconds; with
-    the table down, several peers are needed, and the merge takes their newest.
+    A peer that was paused may answer with the state of a minute ago. So a single
+    answer is enough only if it reflects the table's head of the last few seconds.
+    While the table is unavailable, the answers of several peers are needed, and the
+    merge keeps the newest state.
     """
 
     done: bool = False
-    _witnesses: set[str] = field(factory=set)
+    _received_from: set[str] = field(factory=set)
 
     def hear(self, vm: str, age: float, listed: int) -> bool:
-        """Count a peer's state, ``age`` seconds behind the head; whether enough.
+        """Record a peer's state; return whether enough is known.
 
-        ``listed`` is the number of entries that could be asked.
+        ``age`` is the number of seconds by which the state lags behind the table's
+        head, and ``listed`` the number of entries that could be queried.
         """
-        self._witnesses.add(vm)
-        enough = len(self._witnesses) >= min(WITNESSES, max(listed, 1))
+        self._received_from.add(vm)
+        enough = len(self._received_from) >= min(REQUIRED_PEERS, max(listed, 1))
         self.done = self.done or age <= FRESH_SECONDS or enough
         return self.done
--- a/packages/wasabideck_policy/wasabideck_policy/orders.py
+++ b/packages/wasabideck_policy/wasabideck_policy/orders.py
@@ -1,4 +1,4 @@
-"""When an engine may be ordered, and when what it serves may be served."""
+"""When orders may be sent to an engine, and when it may be given requests."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     "ordered_by",
 ]
 
-# An order whose answer was lost takes effect within this time, or never.
+# An order whose response was lost takes effect within this time, or not at all.
 SETTLE_SECONDS = 10.0
 
 
 @frozen
 class Serving:
-    """What an engine says that it serves.
+    """What an engine reports that it serves.
 
     Attributes
     ----------
     fence : int
-        Fencing number of the order that loaded it: the ticket's number.
+        Fencing token of the order that loaded it: the ticket's number.
     adapters : dict of str to str
-        Manifest of each adapter beside the model, by its name.
+        Manifest of each adapter loaded in addition to the model, by its name.
     """
 
     fence: int = 0
@@ -40,7 +40,7 @@
 
 
 def ordered_by(wanted: Wanted) -> Serving:
-    """What an engine serves once it has carried a ticket out."""
+    """Return what an engine serves once it has executed a ticket's order."""
     change = wanted.change
     return Serving(
         wanted.ticket,
@@ -53,22 +53,22 @@
 
 
 def matches(serving: Serving, wanted: Wanted) -> bool:
-    """Whether an engine serves just what its tickets name."""
+    """Whether an engine serves exactly what its tickets declare."""
     return serving == ordered_by(wanted)
 
 
 def gate_open(serving: Serving, wanted: Wanted | None, highest: int) -> bool:
-    """Whether requests may be given to an engine.
+    """Whether requests may be sent to an engine.
 
-    Open for what the ticket names, and under cutover ``keep`` for the version of an
-    earlier ticket until the swap.
+    They may if the engine serves what the ticket declares and, with the cutover
+    ``keep``, if it still serves the version of an earlier ticket before the swap.
 
     Parameters
     ----------
     highest : int
-        Highest fencing number that the engine was ever seen with. An engine that
-        ignores fencing numbers and carries a lost order out late falls behind it;
-        what it serves then is neither the present version nor the former one.
+        Highest fencing token that the engine has ever reported. If an engine ignores
+        fencing tokens and executes a lost order late, it reports a lower one. It then
+        serves neither the present version nor the former one.
     """
     if wanted is None or not wanted.change.manifest or not serving.manifest:
         return False
@@ -80,28 +80,30 @@
 
 
 def order_due(serving: Serving, wanted: Wanted) -> bool:
-    """Whether an engine is to be ordered.
+    """Whether an order has to be sent to an engine.
 
-    Never less than it has: a higher number means that this process's state is old,
-    as after a start from peers that were frozen.
+    An engine with a higher fencing token than the ticket's number gets no order: its
+    token means that the state of this process is outdated, for example after a start
+    with the state of peers that had been paused.
     """
     return serving.fence <= wanted.ticket and not matches(serving, wanted)
 
 
 @define
 class OrderBook:
-    """What is known of an engine's orders.
+    """The state of an engine's orders.
 
-    At most one order is in flight. An engine that ignores fencing numbers may carry
-    out an order whose answer was lost after the next one, and so revert. The next
-    one is held back until the lost order was seen in force, or its time is over.
+    At most one order is in flight. If the response to an order was lost, an engine
+    that ignores fencing tokens might execute the order after the next one, and so
+    revert it. The next order is therefore delayed until the lost order is known to be
+    in effect, or until it can no longer take effect.
 
     Attributes
     ----------
     checks_fencing : bool
-        Whether the engine refuses old fencing numbers, so that none of it matters.
+        Whether the engine refuses old fencing tokens, so that orders need no delay.
     highest : int
-        Highest fencing number that the engine was seen with.
+        Highest fencing token that the engine has reported.
     """
 
     checks_fencing: bool = False
@@ -110,17 +112,20 @@
     _settled_at: float = 0.0
 
     def begin(self, serving: Serving, now: float) -> None:
-        """Take over an engine; an agent before this one may have lost an order."""
+        """Start to control an engine.
+
+        An earlier agent may have sent an order whose response was lost.
+        """
         if serving.fence and not self.checks_fencing:
             self._settled_at = now + SETTLE_SECONDS
 
     def lose(self, fence: int, now: float) -> None:
-        """Note an order whose answer was lost."""
+        """Record an order whose response was lost."""
         self._lost = fence
         self._settled_at = now + SETTLE_SECONDS
 
     def see(self, serving: Serving) -> None:
-        """Note what the engine serves."""
+        """Record what the engine serves."""
         self.highest = max(self.highest, serving.fence)
         if self._lost is not None and serving.fence == self._lost:
             self._lost, self._settled_at = None, 0.0
--- a/packages/wasabideck_policy/wasabideck_policy/start_turns.py
+++ b/packages/wasabideck_policy/wasabideck_policy/start_turns.py
@@ -1,8 +1,9 @@
-"""When each of a region's processes first reads a table after a start of all.
+"""When each process of a region first reads a table after a full restart.
 
 Staggered start: after a loss of power all processes of a region would read the same
-rows at once, over a link that all share; none has them in time, and each reads them
-again. A few read at once and tell the others, who read later one after the other.
+rows at once, over a link that they all share. No read would complete in time, and each
+would be repeated. So a few processes read at once and notify the others, which
+otherwise read later, one after the other.
 """
 
 from __future__ import annotations
@@ -13,27 +14,31 @@
 
 __all__ = ["read_delay"]
 
-# Reads of those who wait are so far apart (seconds): 400 KB take 0.2 s of a link of
+# Interval between the reads of waiting processes: 400 KB take 0.2 s on a link of
 # 15 Mbit/s.
 APART_SECONDS = 0.3
 LONGEST_SECONDS = 10.0
 
 
 def read_delay(
-    item: str, vm: str, near: Iterable[str], at_once: int, patience: float = 0.0
+    item: str, vm: str, near: Iterable[str], at_once: int, first_delay: float = 0.0
 ) -> float:
-    """Seconds for which a process waits to be told what it would read.
+    """Return the seconds for which a process waits for others to send it the rows.
 
     Parameters
     ----------
     item : str
-        What is read, which decides on the order.
+        Name of what is read; it determines the order of the processes.
     near : iterable of str
-        VMs of the processes of its kind in its region.
+        VMs of the processes of the same kind in the same region.
     at_once : int
-        How many of them read without a wait.
-    patience : float
-        Seconds that the first one waits which does not read at once.
+        Number of processes that read without a delay.
+    first_delay : float
+        Delay in seconds of the first process that does not read at once.
     """
-    place = rank(item, {*near, vm}).index(vm) - at_once
-    return min(LONGEST_SECONDS, patience + place * APART_SECONDS) if place >= 0 else 0.0
+    position = rank(item, {*near, vm}).index(vm) - at_once
+    return (
+        min(LONGEST_SECONDS, first_delay + position * APART_SECONDS)
+        if position >= 0
+        else 0.0
+    )
--- a/packages/wasabideck_policy/wasabideck_policy/superseding.py
+++ b/packages/wasabideck_policy/wasabideck_policy/superseding.py
@@ -1,41 +1,47 @@
-"""Whether a version that a newer one has overtaken on its way is finished."""
+"""Whether to finish the transfer of a version that a newer one supersedes."""
 
 from __future__ import annotations
 
 __all__ = ["OVERHEAD", "finishes_older"]
 
-# So little is left of the older version that finishing it costs next to nothing.
-NEARLY_PART = 0.25
-# A transfer takes so many times what its chunks need on an idle link: headers, live
-# streams beside it, and waiting for chunks that others still lack. Measured with 15
-# VMs in 3 regions: 6.6 to 8.0 s for chunks of 5.2 s.
+# If no more than this fraction of the older version is missing, finishing it costs
+# next to nothing.
+ALMOST_COMPLETE_RATIO = 0.25
+# Duration of a transfer relative to what its chunks need on an idle link. It includes
+# headers, live streams on the same link, and waiting for chunks that others still
+# lack: 15 VMs in 3 regions take 6.6 to 8.0 s for chunks that need 5.2 s.
 OVERHEAD = 1.35
 
 
 def finishes_older(
-    missing_part: float, named_apart: float, transfer_seconds: float, bound: float
+    missing_ratio: float,
+    declared_interval: float,
+    transfer_seconds: float,
+    allowed_seconds: float,
 ) -> bool:
-    """Whether VMs go on with an older version before they turn to the newest.
+    """Whether VMs finish an older version before they fetch the newest one.
 
-    Either way there may be a while without a version that may be served: after the
-    one in force is over until the newest is there, when the older is dropped; after
-    the older is over until the newest is there, when it is finished first. The
-    shorter of the two is chosen.
+    In both cases there may be a period in which no version may be served. If the
+    older version is dropped, it lasts from the expiry of the version in effect until
+    the newest one is there. If the older version is finished first, it lasts from the
+    older one's expiry until the newest one is there. The shorter period is chosen.
 
     Parameters
     ----------
-    missing_part : float
-        Part of the older version that this VM lacks.
-    named_apart : float
-        Seconds between the two versions' names.
+    missing_ratio : float
+        Fraction of the older version that this VM lacks.
+    declared_interval : float
+        Seconds between the declarations of the two versions.
     transfer_seconds : float
-        What one version takes on a VM's link.
-    bound : float
-        Seconds that each version may take.
+        Time that the transfer of one version takes on a VM's idle link.
+    allowed_seconds : float
+        Seconds allowed for servers to change to a declared version.
     """
-    if missing_part <= NEARLY_PART:
+    if missing_ratio <= ALMOST_COMPLETE_RATIO:
         return True
     takes = transfer_seconds * OVERHEAD
-    without_if_dropped = max(0.0, named_apart + takes - bound)
-    without_if_finished = max(0.0, takes + takes - (named_apart + bound))
+    without_if_dropped = max(0.0, declared_interval + takes - allowed_seconds)
+    without_if_finished = max(
+        0.0, takes + takes - (declared_interval + allowed_seconds)
+    )
     return without_if_finished < without_if_dropped
--- a/packages/wasabideck_policy/wasabideck_policy/tickets.py
+++ b/packages/wasabideck_policy/wasabideck_policy/tickets.py
@@ -1,8 +1,8 @@
 """Tickets, and the state that they merge into.
 
-The state maps each touched thing to the newest change that names it. Merging keeps
-the larger ticket number per key, so it is commutative, idempotent and monotone:
-stale reads, repeats and gossip in any order cannot revert anything.
+The state maps each key to its newest change. Merging keeps the larger ticket number
+per key, so it is commutative, idempotent and monotonic: stale reads, duplicates and
+gossip in any order cannot revert anything.
 """
 
 from __future__ import annotations
@@ -38,13 +38,15 @@
 CUTOVERS = ("keep", "refuse")
 MAX_TICKET_BYTES = 256 * 1024
 MAX_CHANGES = 500
-MAX_NAME = 200
-HASH_SIZE = 1 << 128
-SPARE_PLACES = 64
+MAX_NAME_CHARACTERS = 200
+HASH_MODULUS = 1 << 128
+# Outdated entries that the index of sequences may hold before it is rebuilt, beside
+# one per key.
+MAX_EXTRA_INDEX_ENTRIES = 64
 
 
 class TicketError(WasabideckError):
-    """A ticket is malformed; names the file, the field and the value."""
+    """A ticket is malformed; the message contains the file, the field and the value."""
 
     status = 400
 
@@ -56,7 +58,7 @@
 
 
 class TicketConflict(WasabideckError):
-    """The ticket's number is taken by a ticket of other content."""
+    """A ticket with the same number but other content already exists."""
 
     status = 409
 
@@ -66,7 +68,7 @@
 
 
 class TicketSuperseded(WasabideckError):
-    """A later ticket already holds something that this ticket touches."""
+    """A later ticket has already changed a key that this ticket changes."""
 
     status = 409
 
@@ -79,15 +81,15 @@
 
 @frozen(order=True)
 class Key:
-    """A touched thing: a slot of a service, or of one VM's server.
+    """What a change applies to: a slot of a service, or of one VM's server.
 
     Attributes
     ----------
     scope : str
         ``service`` or ``service/vm``.
     slot : str
-        ``model`` (what is served), ``standby`` (held whole, not served) or
-        ``adapter:NAME``.
+        ``model`` (weights that are served), ``standby`` (weights that are held
+        completely but not served) or ``adapter:NAME``.
     """
 
     scope: str
@@ -99,17 +101,17 @@
 
 @frozen
 class Change:
-    """The whole new state of one touched thing.
+    """The complete new state of one key.
 
     Attributes
     ----------
     manifest : str
-        Digest of the weights' manifest; empty when the slot is to be emptied.
+        Digest of the weights' manifest; empty to clear the slot.
     engine_role : str
         The engine's role (``mixed``, ``prefill``, ``decode``); slot ``model`` only.
     cutover : str
-        ``keep`` serves the former version until the new one is whole, ``refuse``
-        refuses requests instead.
+        With ``keep``, a server serves the former version until the new one is
+        complete; with ``refuse``, it refuses requests instead.
     """
 
     scope: str
@@ -122,13 +124,13 @@
 
     @property
     def key(self) -> Key:
-        """The touched thing."""
+        """Return the key that the change applies to."""
         return Key(self.scope, self.slot)
 
 
 @frozen
 class Ticket:
-    """A numbered declaration of new state, kept with who submitted it."""
+    """A numbered declaration of new state, with the operator who submitted it."""
 
     number: int
     changes: tuple[Change, ...]
@@ -144,7 +146,7 @@
     Attributes
     ----------
     sequence : int
-        Place of the ticket in the order of acceptance.
+        Position of the ticket in the order of acceptance.
     """
 
     ticket: int
@@ -153,17 +155,17 @@
 
 
 def change_to_json(change: Change) -> bytes:
-    """Canonical JSON of a change."""
+    """Return the canonical JSON of a change."""
     return json.dumps(asdict(change), sort_keys=True).encode()
 
 
 def change_from_json(data: bytes) -> Change:
-    """Change from its canonical JSON."""
+    """Return the change with the given canonical JSON."""
     return Change(**json.loads(data))
 
 
 def digest_of(ticket: Ticket) -> str:
-    """Digest of a ticket's content, without who submitted it and when."""
+    """Return the digest of a ticket's content, without its submitter and time."""
     content = {
         "number": ticket.number,
         "note": ticket.note,
@@ -174,12 +176,12 @@
 
 
 def parse_ticket(table: Mapping[str, object], source: str) -> Ticket:
-    """Ticket from a parsed TOML table.
+    """Return the ticket of a parsed TOML table.
 
     Raises
     ------
     TicketError
-        Names the file, the field and the value that is wrong.
+        A field is missing, unknown or invalid.
     """
     _refuse_unknown(table, {"number", "note", "change"}, source, "")
     number = table.get("number")
@@ -192,121 +194,128 @@
     changes = tuple(
         _parse_change(row, source, f"change[{index}]") for index, row in enumerate(rows)
     )
-    _refuse_contradictions(changes, source)
+    _refuse_duplicate_keys(changes, source)
     return Ticket(number, changes, note)
 
 
-def _parse_change(row: object, source: str, place: str) -> Change:
+def _parse_change(row: object, source: str, location: str) -> Change:
     if not isinstance(row, dict):
-        raise TicketError(source, place, row, "must be a table")
+        raise TicketError(source, location, row, "must be a table")
     known = {"scope", "slot", "model", "version", "manifest", "engine_role", "cutover"}
-    _refuse_unknown(row, known, source, place)
+    _refuse_unknown(row, known, source, location)
     change = Change(
-        scope=_text(row, "scope", source, place),
-        slot=_text(row, "slot", source, place, default="model"),
-        model=_text(row, "model", source, place, default=""),
-        version=_text(row, "version", source, place, default=""),
-        manifest=_text(row, "manifest", source, place, default=""),
-        engine_role=_text(row, "engine_role", source, place, default="mixed"),
-        cutover=_text(row, "cutover", source, place, default="keep"),
+        scope=_text(row, "scope", source, location),
+        slot=_text(row, "slot", source, location, default="model"),
+        model=_text(row, "model", source, location, default=""),
+        version=_text(row, "version", source, location, default=""),
+        manifest=_text(row, "manifest", source, location, default=""),
+        engine_role=_text(row, "engine_role", source, location, default="mixed"),
+        cutover=_text(row, "cutover", source, location, default="keep"),
     )
-    _check_change(change, source, place)
+    _check_change(change, source, location)
     return change
 
 
-def _check_change(change: Change, source: str, place: str) -> None:
+def _check_change(change: Change, source: str, location: str) -> None:
     if change.slot not in SLOTS and not change.slot.startswith(ADAPTER_PREFIX):
-        raise TicketError(source, f"{place}.slot", change.slot, "no such slot")
+        raise TicketError(source, f"{location}.slot", change.slot, "unknown slot")
     if change.cutover not in CUTOVERS:
-        raise TicketError(source, f"{place}.cutover", change.cutover, "no such cutover")
+        raise TicketError(source, f"{location}.cutover", change.cutover, "unknown cutover")
     if change.scope.count("/") > 1 or change.scope.strip("/") != change.scope:
-        raise TicketError(source, f"{place}.scope", change.scope, "service or s/vm")
+        raise TicketError(
+            source, f"{location}.scope", change.scope, "must be SERVICE or SERVICE/VM"
+        )
     weights = (change.model, change.version, change.manifest)
     if any(weights) and not all(weights):
-        why = "model, version and manifest go together"
-        raise TicketError(source, f"{place}.manifest", change.manifest, why)
+        why = "model, version and manifest must be given together"
+        raise TicketError(source, f"{location}.manifest", change.manifest, why)
 
 
-def _refuse_contradictions(changes: tuple[Change, ...], source: str) -> None:
+def _refuse_duplicate_keys(changes: tuple[Change, ...], source: str) -> None:
     seen: set[Key] = set()
     for index, change in enumerate(changes):
         if change.key in seen:
-            place = f"change[{index}]"
-            raise TicketError(source, place, str(change.key), "touched twice")
+            location = f"change[{index}]"
+            raise TicketError(source, location, str(change.key), "changed twice")
         seen.add(change.key)
 
 
-def _refuse_unknown(table: Mapping, known: set[str], source: str, place: str) -> None:
+def _refuse_unknown(table: Mapping, known: set[str], source: str, location: str) -> None:
     for name in table:
         if name not in known:
-            raise TicketError(source, f"{place}.{name}".lstrip("."), table[name], "?")
+            raise TicketError(
+                source, f"{location}.{name}".lstrip("."), table[name], "unknown field"
+            )
 
 
 def _text(
-    table: Mapping, name: str, source: str, place: str, default: str | None = None
+    table: Mapping, name: str, source: str, location: str, default: str | None = None
 ) -> str:
     value = table.get(name, default)
-    where = f"{place}.{name}".lstrip(".")
+    where = f"{location}.{name}".lstrip(".")
     if not isinstance(value, str):
         raise TicketError(source, where, value, "must be a string")
-    if len(value) > MAX_NAME or (default is None and not value):
-        raise TicketError(source, where, value, f"1 to {MAX_NAME} characters needed")
+    if len(value) > MAX_NAME_CHARACTERS or (default is None and not value):
+        raise TicketError(
+            source, where, value, f"1 to {MAX_NAME_CHARACTERS} characters needed"
+        )
     return value
 
 
 class TicketState:
-    """Newest change per touched thing, and the acceptance sequence it reflects.
+    """The newest change of each key, and the acceptance sequence it reflects.
 
-    Looking one server's things up, taking one change in, the hash and the changes
-    above a place cost the same however many things are touched: at the target size
-    there are thousands, and each process asks every second.
+    The cost of looking up the keys of one server, of merging one change, of the hash
+    and of the changes after a sequence does not depend on the number of keys: at the
+    target size there are thousands, and each process queries the state every second.
     """
 
     def __init__(self) -> None:
         self.sequence = 0
         self._scopes: dict[str, dict[str, Assignment]] = {}
         self._size = 0
-        self._sum = 0
-        # Places in the order of acceptance; a thing changed since is passed over.
-        self._places: list[tuple[int, Key]] = []
+        self._hash_sum = 0
+        # Keys by their sequence in the order of acceptance. A key that has changed
+        # since keeps its outdated entries until the index is rebuilt.
+        self._sequence_index: list[tuple[int, Key]] = []
 
     def __len__(self) -> int:
         return self._size
 
     def assignments(self) -> list[Assignment]:
-        """All newest changes, in the order of their keys."""
+        """Return the newest change of each key, in the order of the keys."""
         scopes = sorted(self._scopes.items())
         return [slots[slot] for _, slots in scopes for slot in sorted(slots)]
 
     def above(self, sequence: int) -> list[Assignment]:
-        """Newest changes that were accepted after a place in the order."""
-        begin = bisect_right(self._places, sequence, key=lambda place: place[0])
-        found = {key: self.newest(key) for _, key in self._places[begin:]}
+        """Return the newest changes that were accepted after a sequence."""
+        start = bisect_right(self._sequence_index, sequence, key=lambda row: row[0])
+        found = {key: self.newest(key) for _, key in self._sequence_index[start:]}
         return [found[key] for key in sorted(found)]
 
     def newest(self, key: Key) -> Assignment | None:
-        """The newest change of a touched thing, or None."""
+        """Return the newest change of a key, or None."""
         return self._scopes.get(key.scope, {}).get(key.slot)
 
     def slots(self, scope: str) -> Iterable[str]:
-        """Slots of a scope that any ticket touches."""
+        """Return the slots of a scope that any ticket has changed."""
         return self._scopes.get(scope, {}).keys()
 
     def merge(
         self, assignments: Iterable[Assignment], sequence: int = 0
     ) -> list[Assignment]:
-        """Take in changes that are newer than the known ones.
+        """Merge the changes that are newer than the known ones.
 
         Returns
         -------
         newer : list of Assignment
-            Those that replaced what was known.
+            The changes that were merged.
         """
         newer = []
         for assignment in assignments:
             known = self.newest(assignment.change.key)
-            # A frozen process or a stale read brings old tickets back: a smaller
-            # or equal number never replaces what is known, so nothing reverts.
+            # A paused process or a stale read may deliver old tickets again. A
+            # smaller or equal number never replaces the known one, so nothing reverts.
             if known is None or assignment.ticket > known.ticket:
                 self._replace(known, assignment)
                 newer.append(assignment)
@@ -314,20 +323,22 @@
         return newer
 
     def state_hash(self) -> str:
-        """Hash of every key and number; equal hashes mean equal states."""
-        return f"{self._sum:032x}"
+        """Return a hash of all keys and numbers; equal hashes mean equal states."""
+        return f"{self._hash_sum:032x}"
 
     def _replace(self, known: Assignment | None, newer: Assignment) -> None:
         key = newer.change.key
         self._scopes.setdefault(key.scope, {})[key.slot] = newer
         self._size += known is None
-        # A sum of the rows' hashes is the same in any order, and one row changes it
-        # without a look at the others.
-        self._sum = (self._sum - _row_hash(known) + _row_hash(newer)) % HASH_SIZE
-        insort(self._places, (newer.sequence, key))
-        if len(self._places) > 2 * self._size + SPARE_PLACES:
+        # The sum of the rows' hashes does not depend on their order, and can be
+        # updated for one row without reading the others.
+        self._hash_sum = (
+            self._hash_sum - _row_hash(known) + _row_hash(newer)
+        ) % HASH_MODULUS
+        insort(self._sequence_index, (newer.sequence, key))
+        if len(self._sequence_index) > 2 * self._size + MAX_EXTRA_INDEX_ENTRIES:
             held = self.assignments()
-            self._places = sorted((a.sequence, a.change.key) for a in held)
+            self._sequence_index = sorted((a.sequence, a.change.key) for a in held)
 
 
 def _row_hash(assignment: Assignment | None) -> int:
@@ -338,7 +349,10 @@
 
 
 def desired(state: TicketState, service: str, vm: str, slot: str) -> Assignment | None:
-    """What a VM's slot is to hold: the newer of its service's and its own change."""
+    """Return what a VM's slot is to hold.
+
+    This is the newer of the change of its service and the change of the VM itself.
+    """
     found = (
         state.newest(Key(service, slot)),
         state.newest(Key(f"{service}/{vm}", slot)),
--- a/packages/wasabideck_policy/wasabideck_policy/turns.py
+++ b/packages/wasabideck_policy/wasabideck_policy/turns.py
@@ -1,7 +1,7 @@
-"""Turns of a service's servers at swapping versions, so that it keeps its capacity.
+"""Staggered version swaps of a service's servers, so that it keeps its capacity.
 
-No server asks another for leave. Each has a slot of time of its own by its rank,
-and in it looks whether enough of the others serve.
+Servers do not ask each other for permission. Each has time slots of its own by its
+rank, and in such a slot checks whether enough of the others are serving.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 WAVES = 4
 SLOT_SECONDS = 0.25
-PATIENCE_SECONDS = 2.0
+BASE_WAIT_SECONDS = 2.0
 
 
-def own_turn(vm: str, ticket: int, vms: Collection[str], wall: float) -> bool:
-    """Whether it is a server's slot of time; ``vms`` are all of its service.
+def own_turn(vm: str, ticket: int, vms: Collection[str], wall_time: float) -> bool:
+    """Whether it is a server's time slot; ``vms`` are all VMs of its service.
 
-    Clocks that differ cost capacity for a moment, and nothing else.
+    Clock skew reduces capacity for a moment and has no other effect.
     """
     waves = min(WAVES, len(vms))
     wave = rank(str(ticket), vms).index(vm) * waves // len(vms)
-    return int(wall / SLOT_SECONDS) % waves == wave
+    return int(wall_time / SLOT_SECONDS) % waves == wave
 
 
-def may_swap(asked: int, serving: int) -> bool:
-    """Whether enough of the asked others serve for this server to stop for a swap."""
-    return asked - serving < max(1, (asked + 1) // WAVES)
+def may_swap(queried: int, serving: int) -> bool:
+    """Whether enough of the queried servers serve for this one to stop for a swap."""
+    return queried - serving < max(1, (queried + 1) // WAVES)
 
 
 def patience(swap_seconds: float) -> float:
-    """Seconds after which a server swaps all the same.
+    """Return the seconds after which a server swaps even if too few others serve.
 
-    Others that are down for good must not hold a ticket back. ``swap_seconds`` is
-    what its last swap took.
+    Otherwise servers that are down permanently would block a ticket. ``swap_seconds``
+    is the duration of the server's last swap.
     """
-    return PATIENCE_SECONDS + WAVES * swap_seconds
+    return BASE_WAIT_SECONDS + WAVES * swap_seconds
--- a/packages/wasabideck_policy/wasabideck_policy/views.py
+++ b/packages/wasabideck_policy/wasabideck_policy/views.py
@@ -1,7 +1,7 @@
-"""What one VM knows of a transfer, and how it takes in what it hears.
+"""What one VM knows of a transfer, and how received reports update it.
 
-Sets of chunk indices are integers in which bit i stands for chunk i: unions and
-differences of them cost the same for 16 VMs as for 2,100.
+Sets of chunk indices are integers in which bit i stands for chunk i. The cost of their
+unions and differences does not depend on the number of VMs, be it 16 or 2,100.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 __all__ = [
     "ORIGIN",
-    "Duties",
+    "FetchRanking",
     "Fetch",
     "Limits",
     "Peer",
@@ -40,40 +40,43 @@
 
 ORIGIN = ""
 
-# Agents among which the chunks' reads from the origin are spread. Fewer would make
-# one VM's link the bottleneck of the first copies; more would need more connections at
-# once than an origin takes, which turns the others away.
-OWNER_POOL = 24
-# Agents of a region that bring chunks over its link, each with an equal share of it.
-GATEWAYS = 4
-# Places in rank from which a VM keeps an eye on those before it.
-CLOSE = 2
-LOST_SECONDS = 2.0
-CORRUPT_SLOTS = 8.0
+# Maximum number of agents among which the reads from the origin are distributed. With
+# fewer, the link of one VM would be the bottleneck of the first copies. With more, the
+# agents would open more connections at once than an origin accepts; it refuses the
+# excess ones.
+MAX_OWNERS = 24
+# Agents of a region that fetch chunks over its link, each an equal share of them.
+GATEWAYS_PER_REGION = 4
+# Largest position in a chunk's rank at which a VM monitors the VMs before it.
+MAX_MONITORED_RANK = 2
+LOST_BACKOFF_SECONDS = 2.0
+CORRUPT_BACKOFF_SLOTS = 8.0
 MAX_STRIKES = 8
-ORIGIN_SET_BACK_SECONDS = 0.25
-# Other bytes than the digest names are the origin's answer to this one read only.
-ORIGIN_CORRUPT_SECONDS = 0.02
+ORIGIN_BACKOFF_SECONDS = 0.25
+# Short, because a corrupt response of the origin concerns only this one read.
+ORIGIN_CORRUPT_BACKOFF_SECONDS = 0.02
 
 
 @frozen
 class Limits:
-    """How much a VM does at once, and how long it waits for others.
+    """Maximum concurrent fetches of a VM, and how long it waits for others.
 
     Attributes
     ----------
     near, far, reads : int
-        Fetches at once within the region, over the region's link, from the origin.
+        Maximum concurrent fetches within the region, over the region's link, and
+        from the origin.
     a_peer : int
-        Fetches at once from one peer.
+        Maximum concurrent fetches from one peer.
     spare : int
-        Chunks that this VM may read from the origin although others hold them. Its
-        link is idle once it has sent its copy, while the VMs' own are full.
+        Number of chunks that this VM may read from the origin although others hold
+        them. The origin's link is idle once it has sent its copy, while the links of
+        the VMs are saturated.
     slot : float
         Seconds that one chunk takes on the VM's link.
     patience : float
-        Seconds without progress after which the second in rank steps in for the
-        first; twice as long again for each further one.
+        Seconds without progress after which the second VM in rank fetches a chunk
+        instead of the first; the delay doubles with each further rank.
     """
 
     near: int = 3
@@ -92,11 +95,12 @@
     Attributes
     ----------
     held, reading : int
-        Chunks that it holds, and that it reads from outside its region now.
+        Chunks that it holds, and chunks that it currently fetches from outside its
+        region.
     sent : int
-        Chunks that it has sent.
+        Number of chunks that it has sent.
     strikes : int
-        Corrupt chunks that it sent, less one for each good one.
+        Number of corrupt chunks that it sent, less one for each valid one.
     lost : bool
         Whether the last call to it failed.
     """
@@ -114,23 +118,24 @@
 
 
 @frozen
-class Duties:
-    """Who fetches which chunk from outside a region, in order of rank.
+class FetchRanking:
+    """Which VMs fetch each chunk from outside a region, in order of rank.
 
     Attributes
     ----------
     ranks : tuple of sequences of str
         For each chunk the VMs that may fetch it.
-    places : tuple of int
-        For each chunk this VM's place among them; -1 when it is not.
-    first, close : int
-        Chunks for which this VM is the first, and for which it is near to it.
+    positions : tuple of int
+        For each chunk this VM's position among them; -1 when it is none of them.
+    first, monitored : int
+        Chunks for which this VM is the first in rank, and chunks for which it is the
+        first or close enough to it to monitor the VMs before it.
     """
 
     ranks: tuple[Sequence[str], ...] = ()
-    places: tuple[int, ...] = ()
+    positions: tuple[int, ...] = ()
     first: int = 0
-    close: int = 0
+    monitored: int = 0
 
 
 @frozen
@@ -142,9 +147,9 @@
     source : str
         The peer's VM; empty for the origin.
     far : bool
-        Whether the chunk comes over the link into the region.
+        Whether the chunk is transferred over the link into the region.
     spare : bool
-        Whether it is read from the origin although others hold it.
+        Whether the chunk is read from the origin although others hold it.
     """
 
     index: int
@@ -155,20 +160,22 @@
 
 @define
 class View:
-    """All that one VM knows of one transfer.
+    """What one VM knows of one transfer.
 
     Attributes
     ----------
     peers : dict of str to Peer
-        Every VM that wants or holds the manifest, this one left out.
+        All other VMs that want or hold the manifest.
     holders : dict of str to Peer
-        Those of them that are known to hold something.
+        The peers that are known to hold at least one chunk.
     held, active : int
         Chunks held here, and chunks being fetched.
-    seen, seen_near : int
-        Chunks that some living peer holds, anywhere and in this region.
+    seen, available_in_region : int
+        Chunks that some live peer holds, anywhere and in this region.
     progress_at : float
-        When a chunk was last seen for the first time.
+        When a chunk last became newly available here or at a peer.
+    fed_at : float
+        When this VM last received a chunk.
     """
 
     vm: str
@@ -183,39 +190,39 @@
     held: int = 0
     active: int = 0
     seen: int = 0
-    seen_near: int = 0
+    available_in_region: int = 0
     progress_at: float = 0.0
     fed_at: float = 0.0
     origin_busy_until: float = 0.0
     sources: Counter = field(factory=Counter)
-    far_active: int = 0
-    spare_read: int = 0
-    owners: Duties = Duties()
-    bringers: Duties = Duties()
+    cross_region_active: int = 0
+    spare_reads: int = 0
+    owners: FetchRanking = FetchRanking()
+    region_fetchers: FetchRanking = FetchRanking()
 
     @property
     def whole(self) -> int:
-        """All chunks of the manifest."""
+        """Return the set of all chunks of the manifest."""
         return (1 << len(self.digests)) - 1
 
     @property
     def missing(self) -> int:
-        """How many chunks are not here yet."""
+        """Return the number of chunks that are not held here yet."""
         return (self.whole & ~self.held).bit_count()
 
     @property
     def wanted(self) -> int:
-        """Chunks that are neither here nor on their way."""
+        """Return the set of chunks that are neither held here nor being fetched."""
         return self.whole & ~(self.held | self.active)
 
 
 def gateways(item: str, region: str, vms: Sequence[str]) -> list[str]:
-    """The few agents of a region that bring chunks of an item over its link."""
-    return heapq.nlargest(GATEWAYS, vms, key=score(f"{item}/{region}"))
+    """Return the few agents of a region that fetch an item's chunks over its link."""
+    return heapq.nlargest(GATEWAYS_PER_REGION, vms, key=score(f"{item}/{region}"))
 
 
 def set_members(view: View, item: str, members: Iterable[Member]) -> None:
-    """Take in who takes part now; an item, such as a manifest, has its own ranks."""
+    """Set the participants; each item, such as a manifest, has its own ranking."""
     members = [m for m in members if m.vm != view.vm]
     for member in members:
         if member.vm not in view.peers:
@@ -224,15 +231,15 @@
     for vm in view.peers.keys() - {m.vm for m in members}:
         view.holders.pop(vm, None)
         del view.peers[vm]
-    _see_again(view)
+    _recompute_available(view)
     _rank_owners(view, item, staying)
-    near = [vm for vm in staying if view.peers[vm].region == view.region]
-    pool = gateways(item, view.region, [view.vm, *near])
-    # A pool that is gone through in turn shares the link's bytes out evenly; ranks
-    # drawn for each chunk would leave one of the few gateways far behind.
-    turns = [[*pool[k:], *pool[:k]] for k in range(len(pool))]
+    local = [vm for vm in staying if view.peers[vm].region == view.region]
+    pool = gateways(item, view.region, [view.vm, *local])
+    # Round robin distributes the chunks evenly over the gateways. A ranking drawn for
+    # each chunk would give one of the few gateways far more chunks than the others.
+    rotations = [[*pool[k:], *pool[:k]] for k in range(len(pool))]
     chunks = range(len(view.digests))
-    view.bringers = _duties(view.vm, [turns[i % len(pool)] for i in chunks])
+    view.region_fetchers = _ranking(view.vm, [rotations[i % len(pool)] for i in chunks])
 
 
 def hear(
@@ -243,10 +250,11 @@
     sent: int = 0,
     reading: int | None = None,
 ) -> None:
-    """Take in what a peer says of itself.
+    """Record what a peer reports of itself.
 
-    It may hold less than before: a VM that is replaced under its name comes back
-    empty. Were the old word kept, nobody would read again what only it held.
+    It may hold fewer chunks than before: a VM that is replaced under the same name
+    starts empty. If its old report were kept, nobody would read again the chunks that
+    only the replaced VM held.
     """
     peer = view.peers.get(vm)
     if peer is None:
@@ -262,44 +270,44 @@
         view.holders[vm] = peer
     if dropped:
         view.holders = {vm: p for vm, p in view.holders.items() if p.held}
-        _see_again(view)
+        _recompute_available(view)
     new = peer.held & ~view.seen
     view.seen |= peer.held
     if peer.region == view.region:
-        new |= peer.held & ~view.seen_near
-        view.seen_near |= peer.held
+        new |= peer.held & ~view.available_in_region
+        view.available_in_region |= peer.held
     if new:
         view.progress_at = now
 
 
 def lose(view: View, vm: str, now: float) -> None:
-    """A call to a peer failed: what only it held is held by nobody."""
+    """Record a failed call to a peer: chunks that only it held become unavailable."""
     peer = view.peers.get(vm)
     if peer is None:
         return
     peer.lost, peer.held, peer.reading = True, 0, 0
-    peer.busy_until = now + LOST_SECONDS
+    peer.busy_until = now + LOST_BACKOFF_SECONDS
     view.holders.pop(vm, None)
-    _see_again(view)
+    _recompute_available(view)
 
 
 def begin(view: View, fetch: Fetch) -> None:
-    """A fetch is under way."""
+    """Record the start of a fetch."""
     view.active |= 1 << fetch.index
     view.sources[fetch.source] += 1
-    view.far_active += fetch.far and fetch.source != ORIGIN
-    view.spare_read += fetch.spare
+    view.cross_region_active += fetch.far and fetch.source != ORIGIN
+    view.spare_reads += fetch.spare
 
 
 def end(view: View, fetch: Fetch) -> None:
-    """A fetch has ended, in whatever way."""
+    """Record the end of a fetch, whatever its result."""
     view.active &= ~(1 << fetch.index)
     view.sources[fetch.source] -= 1
-    view.far_active -= fetch.far and fetch.source != ORIGIN
+    view.cross_region_active -= fetch.far and fetch.source != ORIGIN
 
 
 def got(view: View, fetch: Fetch, now: float) -> None:
-    """A fetch brought its chunk, verified."""
+    """Record that a fetch has received its chunk, verified."""
     view.held |= 1 << fetch.index
     view.fed_at = view.progress_at = now
     if peer := view.peers.get(fetch.source):
@@ -307,28 +315,28 @@
 
 
 def got_corrupt(view: View, fetch: Fetch, now: float) -> None:
-    """A fetch brought other bytes: its sender is left alone, longer each time."""
+    """Record a corrupt chunk: its sender is not used for an exponential backoff."""
     peer = view.peers.get(fetch.source)
     if peer is None:
-        view.origin_busy_until = now + ORIGIN_CORRUPT_SECONDS
+        view.origin_busy_until = now + ORIGIN_CORRUPT_BACKOFF_SECONDS
         return
     peer.strikes = min(peer.strikes + 1, MAX_STRIKES)
-    peer.busy_until = now + CORRUPT_SLOTS * view.limits.slot * 2**peer.strikes
+    peer.busy_until = now + CORRUPT_BACKOFF_SLOTS * view.limits.slot * 2**peer.strikes
 
 
 def refused(view: View, fetch: Fetch, now: float, rng: random.Random) -> None:
-    """The sender has no upload free: try it again in about a slot."""
+    """Record that the sender has no free upload: it is retried after about a slot."""
     if peer := view.peers.get(fetch.source):
         peer.busy_until = now + view.limits.slot * rng.uniform(0.5, 1.5)
 
 
 def origin_failed(view: View, now: float) -> None:
-    """The origin gave no answer: read on in a while."""
-    view.origin_busy_until = now + ORIGIN_SET_BACK_SECONDS
+    """Record that the origin did not respond: it is not read for a backoff."""
+    view.origin_busy_until = now + ORIGIN_BACKOFF_SECONDS
 
 
 def bits(mask: int) -> Iterator[int]:
-    """Indices of the bits that are set, from the lowest."""
+    """Yield the indices of the bits that are set, from the lowest."""
     while mask:
         low = mask & -mask
         yield low.bit_length() - 1
@@ -336,30 +344,35 @@
 
 
 def pick_bit(mask: int, rng: random.Random) -> int:
-    """Index of one of the bits that are set, each as likely."""
+    """Return the index of a random bit that is set, with equal probability."""
     for _ in range(rng.randrange(mask.bit_count())):
         mask &= mask - 1
     return (mask & -mask).bit_length() - 1
 
 
-def _see_again(view: View) -> None:
-    view.seen = view.seen_near = 0
+def _recompute_available(view: View) -> None:
+    view.seen = view.available_in_region = 0
     for peer in view.holders.values():
         view.seen |= peer.held
         if peer.region == view.region:
-            view.seen_near |= peer.held
+            view.available_in_region |= peer.held
 
 
 def _rank_owners(view: View, item: str, staying: set[str]) -> None:
-    """Rank those who may read from the origin, in its own region if it has any."""
-    region = {vm: view.peers[vm].region for vm in staying} | {view.vm: view.region}
-    at_home = [vm for vm in region if region[vm] == view.origin_region]
-    pool = heapq.nlargest(OWNER_POOL, at_home or region, key=score(item))
-    view.owners = _duties(view.vm, [rank(digest, pool) for digest in view.digests])
-
+    """Rank the VMs that may read from the origin.
 
-def _duties(vm: str, ranks: Sequence[Sequence[str]]) -> Duties:
-    places = tuple(row.index(vm) if vm in row else -1 for row in ranks)
-    first = sum(1 << i for i, place in enumerate(places) if place == 0)
-    close = sum(1 << i for i, place in enumerate(places) if 0 <= place <= CLOSE)
-    return Duties(tuple(ranks), places, first, close)
+    Only VMs in the origin's region may, if there are any.
+    """
+    region = {vm: view.peers[vm].region for vm in staying} | {view.vm: view.region}
+    in_origin_region = [vm for vm in region if region[vm] == view.origin_region]
+    pool = heapq.nlargest(MAX_OWNERS, in_origin_region or region, key=score(item))
+    view.owners = _ranking(view.vm, [rank(digest, pool) for digest in view.digests])
+
+
+def _ranking(vm: str, ranks: Sequence[Sequence[str]]) -> FetchRanking:
+    positions = tuple(row.index(vm) if vm in row else -1 for row in ranks)
+    first = sum(1 << i for i, pos in enumerate(positions) if pos == 0)
+    monitored = sum(
+        1 << i for i, pos in enumerate(positions) if 0 <= pos <= MAX_MONITORED_RANK
+    )
+    return FetchRanking(tuple(ranks), positions, first, monitored)
--- a/packages/wasabideck_policy/wasabideck_policy/wants.py
+++ b/packages/wasabideck_policy/wasabideck_policy/wants.py
@@ -1,4 +1,4 @@
-"""What one server is to hold: its model with all adapters, and its standby."""
+"""The desired weights of one server: its model with all adapters, and its standby."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @frozen
 class Wanted:
-    """All that a server is to serve at once, and the newest ticket that says so.
+    """The weights that a server is to serve together, and the newest of their tickets.
 
-    A model and its adapters are ordered together, under one fencing number, so that
-    no request ever meets the one of the former ticket and the other of the new one.
+    A model and its adapters are ordered together, with one fencing token, so that no
+    request is served with the model of one ticket and an adapter of another.
 
     Attributes
     ----------
     ticket : int
-        Newest ticket that names the model or any adapter, a removed one too.
+        Newest ticket that changes the model or any adapter, including removed ones.
     change : Change
-        The model's.
+        The change of the model.
     parts : tuple of Assignment
-        The model and the adapters, as their own tickets name them.
+        The model and the adapters, as declared by their own tickets.
     """
 
     ticket: int
@@ -35,7 +35,7 @@
 
     @property
     def adapters(self) -> dict[str, str]:
-        """Manifest of each adapter, by its name."""
+        """Return the manifest of each adapter, by its name."""
         return {
             part.change.slot.removeprefix(ADAPTER_PREFIX): part.change.manifest
             for part in self.parts
@@ -43,21 +43,24 @@
         }
 
     def keeps(self, fence: int) -> bool:
-        """Whether what a former ticket ordered may be served until the swap."""
+        """Whether weights of an earlier ticket may be served until the swap.
+
+        ``fence`` is the fencing token of their order.
+        """
         newer = (part for part in self.parts if part.ticket > fence)
         return all(part.change.cutover == "keep" for part in newer)
 
 
 def wanted_of(state: TicketState, service: str, vm: str) -> Wanted | None:
-    """What a VM's server is to serve; None while no ticket names its model."""
+    """Return what a VM's server is to serve; None while no ticket sets its model."""
     model = desired(state, service, vm, MODEL)
     if model is None:
         return None
     slots = sorted(_adapter_slots(state, service, vm))
     adapters = [desired(state, service, vm, slot) for slot in slots]
     ticket = max(part.ticket for part in (model, *adapters))
-    held = (part for part in adapters if part.change.manifest)
-    return Wanted(ticket, model.change, (model, *held))
+    present = (part for part in adapters if part.change.manifest)
+    return Wanted(ticket, model.change, (model, *present))
 
 
 def _adapter_slots(state: TicketState, service: str, vm: str) -> set[str]:
--- a/packages/wasabideck_policy/wasabideck_policy/waves.py
+++ b/packages/wasabideck_policy/wasabideck_policy/waves.py
@@ -1,8 +1,8 @@
-"""When a server stops for newer weights: some first, the others while those serve.
+"""Rollout waves: when each server stops to load newer weights.
 
-Servers get a version's chunks at nearly the same time. Were they all to stop at once,
-for two seconds nothing would begin, and the backlog of those seconds would make what
-comes after them late as well.
+Servers receive a version's chunks at nearly the same time. If they all stopped at
+once, no request could start for two seconds, and the backlog of those seconds would
+also delay the requests after them. So some servers stop first, while the others serve.
 """
 
 from __future__ import annotations
@@ -13,30 +13,33 @@
 
 __all__ = ["DRAIN_SECONDS", "wave_delay"]
 
-# A server that stops works so long on what it has; streams that last longer then go on
-# at other servers, as the longest would keep all its other places idle (seconds).
+# Time for which a stopping server continues its running requests. Streams that last
+# longer continue at other servers: waiting for the longest one would keep all other
+# slots of the server idle.
 DRAIN_SECONDS = 0.8
-# Word of a server that is back takes so long to be everywhere (seconds).
-WORD_SECONDS = 0.2
-MOST_WAVES = 4
+# Time until a report that a server serves again has reached all processes.
+REPORT_DELAY_SECONDS = 0.2
+MAX_WAVES = 4
 
 
 def wave_delay(
     vm: str, version: int, vms: Collection[str], load_seconds: float, spare: float
 ) -> float:
-    """Seconds that a server with a whole version waits before it stops to load it.
+    """Return the seconds that a server waits before it stops to load a version.
+
+    The server has all chunks of the version already.
 
     Parameters
     ----------
     vms : collection of str
-        VMs of all servers that load the version, ``vm`` among them.
+        VMs of all servers that load the version, including ``vm``.
     load_seconds : float
-        How long an engine takes to load weights.
+        Time that an engine takes to load weights.
     spare : float
-        Seconds for which its present weights may still be begun.
+        Seconds for which requests may still start on the server's present weights.
     """
-    wave_seconds = DRAIN_SECONDS + load_seconds + WORD_SECONDS
+    wave_seconds = DRAIN_SECONDS + load_seconds + REPORT_DELAY_SECONDS
     waves = 1 + int(max(0.0, spare) / wave_seconds)
-    waves = min(waves, MOST_WAVES, max(len(vms), 1))
-    place = rank(str(version), vms).index(vm)
-    return wave_seconds * (place * waves // len(vms))
+    waves = min(waves, MAX_WAVES, max(len(vms), 1))
+    position = rank(str(version), vms).index(vm)
+    return wave_seconds * (position * waves // len(vms))
