--- a/packages/wasabideck_policy/wasabideck_policy/distribution.py
+++ b/packages/wasabideck_policy/wasabideck_policy/distribution.py
@@ -19,14 +19,14 @@
 STARVED_QUERIES = 4
 SUPPLIED_QUERIES = 1
 MAX_RANK_CHECKS = 2
-# Interval after which a VM queries again a VM before it in rank that it has received
-# nothing from.
+# A VM again queries a neighbour in rank from which it has received nothing for this
+# time.
 RANK_CHECK_SECONDS = 1.0
-# The first VM in rank for a chunk is considered too slow after this many times the
-# duration of one complete copy on its link, although its share is only a small part of
-# a copy. Waiting for a lack of progress is not enough, since a slow VM still makes
-# some: a region waited 9 s for the chunks of one VM whose link was reduced to a
-# quarter of its rate, which other VMs can fetch in 1 s.
+# After this many times the duration of one complete copy on a link, the first VM in
+# rank for a chunk is considered too slow, as its share is only a small part of a copy.
+# A maximum time without progress is not enough, since a slow VM still makes progress:
+# a region waited 9 s for the chunks of one VM whose link was reduced to a quarter of
+# its rate, which other VMs can fetch in 1 s.
 OVERDUE_COPY_RATIO = 0.6
 # On fast links latency dominates the duration, and does not make a VM too slow.
 MIN_OVERDUE_SECONDS = 1.5
@@ -143,8 +143,8 @@
 def _unread_by_next(view: View, index: int, now: float) -> bool:
     """Whether the next VM in rank has not already started to read the chunk.
 
-    In the first second of a transfer this is known only after a report of that VM. A
-    VM that joins late may be the first in rank for a chunk that the VM after it has
+    Shortly after the start of a transfer the answer is no until that VM has reported.
+    A VM that joins late may be the first in rank for a chunk that the VM after it has
     read long ago. Reading it again would cost the origin another copy.
     """
     successor = _next_in_rank(view, view.owners, index)
--- a/packages/wasabideck_policy/wasabideck_policy/tickets.py
+++ b/packages/wasabideck_policy/wasabideck_policy/tickets.py
@@ -220,7 +220,9 @@
     if change.slot not in SLOTS and not change.slot.startswith(ADAPTER_PREFIX):
         raise TicketError(source, f"{location}.slot", change.slot, "unknown slot")
     if change.cutover not in CUTOVERS:
-        raise TicketError(source, f"{location}.cutover", change.cutover, "unknown cutover")
+        raise TicketError(
+            source, f"{location}.cutover", change.cutover, "unknown cutover"
+        )
     if change.scope.count("/") > 1 or change.scope.strip("/") != change.scope:
         raise TicketError(
             source, f"{location}.scope", change.scope, "must be SERVICE or SERVICE/VM"
@@ -240,7 +242,9 @@
         seen.add(change.key)
 
 
-def _refuse_unknown(table: Mapping, known: set[str], source: str, location: str) -> None:
+def _refuse_unknown(
+    table: Mapping, known: set[str], source: str, location: str
+) -> None:
     for name in table:
         if name not in known:
             raise TicketError(
--- a/tests/beliefs/test_audience.py
+++ b/tests/beliefs/test_audience.py
@@ -1,12 +1,12 @@
-"""Which entries hear an agent's words, at sizes far above the usual one."""
+"""Which entries receive an agent's reports, also in very large deployments."""
 
 from collections import Counter
 
 import pytest
 from wasabideck_policy.audience import (
-    FAR_MOST,
-    NEAR_MOST,
-    URGENT_MOST,
+    MAX_LOCAL_ENTRIES,
+    MAX_REMOTE_ENTRIES,
+    MAX_URGENT_ENTRIES,
     Audience,
     audience_of,
 )
@@ -21,39 +21,41 @@
     return [*rows, Member("agent", AGENT, "a:1", "r0")]
 
 
-def audience(entries, vm="agent"):
-    found = Audience()
-    found.take(*audience_of(vm, "r0", members(entries)))
-    return found
+def targets_of(entries, vm="agent"):
+    targets = Audience()
+    targets.take(*audience_of(vm, "r0", members(entries)))
+    return targets
 
 
-def test_a_small_deployment_hears_every_word():
-    found = audience(30)
-    assert len(found.for_word(with_far=False)) == 6
-    assert len(found.for_word(with_far=True)) == 30
+def test_in_a_small_deployment_all_entries_receive_every_report():
+    targets = targets_of(30)
+    assert len(targets.for_word(with_far=False)) == 6
+    assert len(targets.for_word(with_far=True)) == 30
 
 
 @pytest.mark.parametrize("entries", [36, 300, 410, 3000])
-def test_what_an_agent_sends_is_bounded_whatever_the_number_of_entries(entries):
-    found = audience(entries)
-    assert len(found.for_word(with_far=False)) <= NEAR_MOST
-    assert len(found.for_word(with_far=True)) <= NEAR_MOST + FAR_MOST
-    assert len(found.for_change()) <= URGENT_MOST + FAR_MOST
-
-
-def test_entries_near_by_take_turns():
-    # Guards against the same entries being left out for ever, which then send to
-    # servers that they hear nothing of.
-    found = audience(410)
-    words = Counter(a for _ in range(41) for a in found.for_word(with_far=False))
-    assert set(words) == set(found.near)
-    assert max(words.values()) - min(words.values()) <= 1
-
-
-def test_every_entry_hears_of_servers_far_off():
-    # Guards against all agents keeping the same entries, so that the others never hear
-    # of a server of another region.
-    heard = Counter(a for n in range(140) for a in audience(410, f"agent-{n}").far)
-    far = {f"e-{n}:1" for n in range(410) if n % REGIONS}
-    assert set(heard) == far
-    assert max(heard.values()) < 5 * 140 * FAR_MOST / len(far)
+def test_the_number_of_reports_is_bounded_for_any_number_of_entries(entries):
+    targets = targets_of(entries)
+    assert len(targets.for_word(with_far=False)) <= MAX_LOCAL_ENTRIES
+    assert (
+        len(targets.for_word(with_far=True)) <= MAX_LOCAL_ENTRIES + MAX_REMOTE_ENTRIES
+    )
+    assert len(targets.for_change()) <= MAX_URGENT_ENTRIES + MAX_REMOTE_ENTRIES
+
+
+def test_entries_of_the_own_region_are_reported_to_round_robin():
+    # Guards against leaving out the same entries permanently, which would then send
+    # requests to servers of which they receive no reports.
+    targets = targets_of(410)
+    reports = Counter(a for _ in range(41) for a in targets.for_word(with_far=False))
+    assert set(reports) == set(targets.near)
+    assert max(reports.values()) - min(reports.values()) <= 1
+
+
+def test_every_entry_receives_reports_of_remote_servers():
+    # Guards against all agents choosing the same remote entries, so that the others
+    # never receive a report of a server of another region.
+    reports = Counter(a for n in range(140) for a in targets_of(410, f"agent-{n}").far)
+    remote = {f"e-{n}:1" for n in range(410) if n % REGIONS}
+    assert set(reports) == remote
+    assert max(reports.values()) < 5 * 140 * MAX_REMOTE_ENTRIES / len(remote)
--- a/tests/beliefs/test_declarations.py
+++ b/tests/beliefs/test_declarations.py
@@ -1,4 +1,4 @@
-"""Declarations merge the same whatever the order, and never revert."""
+"""Declarations merge to the same state in any order, and never revert."""
 
 import itertools
 
@@ -16,36 +16,36 @@
 
 @given(st.lists(DECLARATIONS, max_size=8), st.randoms(use_true_random=False))
 @settings(derandomize=True, max_examples=200)
-def test_any_order_and_any_repeats_end_alike(found, rng):
-    again = [*found, *found]
-    rng.shuffle(again)
+def test_any_order_and_duplicates_give_the_same_state(received, rng):
+    shuffled = [*received, *received]
+    rng.shuffle(shuffled)
     one, other = Declarations(), Declarations()
-    one.merge(found)
-    for declaration in again:
+    one.merge(received)
+    for declaration in shuffled:
         other.merge([declaration])
     assert one.numbers() == other.numbers()
 
 
 @given(st.lists(DECLARATIONS, max_size=8))
 @settings(derandomize=True, max_examples=200)
-def test_numbers_only_grow(found):
+def test_numbers_never_decrease(received):
     state = Declarations()
-    for before, declaration in itertools.pairwise([None, *found]):
+    for before, declaration in itertools.pairwise([None, *received]):
         numbers = state.numbers()
         state.merge([declaration])
         assert all(state.numbers()[key] >= n for key, n in numbers.items()), before
 
 
-def test_a_stale_answer_replaces_nothing():
-    # An operator revokes a key with number 7. A store that answers from before then
-    # gives number 6 again: callers with the old key must not get in once more.
+def test_a_stale_read_replaces_nothing():
+    # Configuration 7 revokes an API key. A stale read of the store returns
+    # configuration 6 again, which must not make the revoked key valid.
     state = Declarations()
     state.merge([Declaration("configuration", 7, b"new")])
     assert state.merge([Declaration("configuration", 6, b"old")]) == []
     assert state.newer_than({"configuration": 6})[0].content == b"new"
 
 
-def test_a_peer_is_told_only_what_it_lacks():
+def test_a_peer_is_sent_only_newer_declarations():
     state = Declarations()
     state.merge([Declaration("a", 1, b""), Declaration("b", 2, b"")])
     assert [d.key for d in state.newer_than({"a": 1})] == ["b"]
--- a/tests/beliefs/test_superseding.py
+++ b/tests/beliefs/test_superseding.py
@@ -1,26 +1,30 @@
-"""Two versions named within the time that one takes to come everywhere."""
+"""Two versions declared within the time that the transfer of one takes."""
 
 import pytest
 from wasabideck_policy.superseding import finishes_older
 
-TRANSFER, BOUND = 5.2, 8.0
+TRANSFER_SECONDS, ALLOWED_SECONDS = 5.2, 8.0
 
 
 @pytest.mark.parametrize(
-    ("missing", "apart", "finishes"),
+    ("missing", "interval", "finishes"),
     [
-        # The newest can still come before the one in force is over.
+        # The newest version can still arrive before the one in effect expires.
         (0.9, 0.5, False),
-        # Two seconds apart: one second without servers, against five.
+        # Declared two seconds apart. Dropping the older version leaves one second
+        # without servers, finishing it five.
         (0.75, 2.0, False),
-        # Four seconds apart: two and a half seconds without servers, against three.
+        # Declared four seconds apart. Finishing the older version leaves two and a
+        # half seconds without servers, dropping it three.
         (0.5, 4.0, True),
         (0.1, 2.0, True),
     ],
 )
-def test_the_shorter_time_without_servers_is_chosen(missing, apart, finishes):
-    assert finishes_older(missing, apart, TRANSFER, BOUND) is finishes
+def test_the_shorter_time_without_servers_is_chosen(missing, interval, finishes):
+    assert (
+        finishes_older(missing, interval, TRANSFER_SECONDS, ALLOWED_SECONDS) is finishes
+    )
 
 
-def test_with_time_enough_the_older_is_dropped():
+def test_the_older_version_is_dropped_when_there_is_enough_time():
     assert not finishes_older(0.9, 1.0, 1.0, 60.0)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""Merging of ticket state never reverts, in whatever order changes come."""
+"""Merging changes into the ticket state never reverts it, whatever their order."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 @given(assignments, st.integers(0, 1000))
-def test_any_order_with_repeats_gives_the_same_state(items, seed):
+def test_any_order_and_duplicates_give_the_same_state(items, seed):
     shuffled = [*items, *items]
     random.Random(seed).shuffle(shuffled)
     one, other = TicketState(), TicketState()
@@ -37,7 +37,7 @@
     assert one.state_hash() == other.state_hash()
 
 
-def test_the_newer_of_service_and_server_is_wanted():
+def test_the_newer_change_of_service_and_server_applies():
     state = TicketState()
     state.merge([Assignment(2, Change("a/vm-1", "model", version="own"))])
     state.merge([Assignment(1, Change("a", "model", version="all"))])
@@ -55,7 +55,7 @@
         ({"number": 1, "change": [{"scope": "a", "model": "m"}]}, "change[0].manifest"),
     ],
 )
-def test_a_malformed_ticket_names_its_field(table, field):
+def test_the_error_of_a_malformed_ticket_contains_its_field(table, field):
     with pytest.raises(TicketError) as caught:
         parse_ticket(table, "t.toml")
     assert caught.value.field == field
--- a/tests/weights/driver.py
+++ b/tests/weights/driver.py
@@ -1,4 +1,4 @@
-"""Drives one VM's view of a transfer, tick by tick, against small fakes."""
+"""Drives one VM's view of a transfer, tick by tick, against fake peers."""
 
 import hashlib
 
@@ -22,46 +22,46 @@
     set_members,
 )
 
-SLOT = 0.1
-TICK = SLOT / 2
-FAR_SLOTS = 4
+SLOT_SECONDS = 0.1
+TICK_SECONDS = SLOT_SECONDS / 2
+CROSS_REGION_SLOTS = 4
 CHUNKS = 8
 TEXTS = [f"chunk {i}" for i in range(CHUNKS)]
-ALL = (1 << CHUNKS) - 1
+ALL_CHUNKS = (1 << CHUNKS) - 1
 
 
 def manifest_of(version, texts):
-    """A manifest whose chunks are the given texts."""
+    """Return a manifest whose chunks are the given texts."""
     digests = tuple(chunk_digest(text.encode()) for text in texts)
     return Manifest("m", version, 8, 8 * len(texts), digests)
 
 
 @define
 class FakePeer:
-    """Another VM: what it holds from which moment on, and how it fails."""
+    """Another VM: the chunks that it holds from given times on, and how it fails."""
 
     vm: str
     region: str = "r1"
     holds: dict[float, int] = field(factory=dict)
     corrupt: int = 0
-    cut: tuple[float, float] = (0.0, 0.0)
-    restarts: float = 1e9
+    unresponsive_between: tuple[float, float] = (0.0, 0.0)
+    restarts_at: float = 1e9
 
     def held(self, now):
         mask = 0
-        if now >= self.restarts:
+        if now >= self.restarts_at:
             return mask
-        for since, more in self.holds.items():
-            mask |= more if since <= now else 0
+        for since, chunks in self.holds.items():
+            mask |= chunks if since <= now else 0
         return mask
 
-    def silent(self, now):
-        return self.cut[0] <= now < self.cut[1]
+    def unresponsive(self, now):
+        return self.unresponsive_between[0] <= now < self.unresponsive_between[1]
 
 
 @define
 class Session:
-    """One VM's transfer, and the log of all that it did."""
+    """One VM's transfer, and the log of its steps."""
 
     vm: str
     manifest: Manifest
@@ -71,62 +71,62 @@
     rng: object
     region: str = "r1"
     origin_down: tuple[float, float] = (0.0, 0.0)
-    begun: float = 0.0
+    started_at: float = 0.0
     log: list[str] = field(factory=list)
     view: View = field(init=False)
-    _due: list = field(factory=list)
+    _pending: list = field(factory=list)
 
     def __attrs_post_init__(self):
         self.store.know(self.manifest)
         self.view = View(
             self.vm,
             self.manifest.chunks,
-            self.begun,
+            self.started_at,
             self.region,
             origin_region="r1",
-            limits=Limits(near=2, slot=SLOT, patience=1.0),
+            limits=Limits(near=2, slot=SLOT_SECONDS, patience=1.0),
             held=self.store.held(self.manifest),
-            progress_at=self.begun,
+            progress_at=self.started_at,
         )
-        self.follow()
+        self.set_peers()
 
-    def follow(self):
+    def set_peers(self):
         members = [Member(p.vm, AGENT, "", p.region) for p in self.peers.values()]
         set_members(self.view, self.manifest.digest, members)
 
     def run(self, until):
-        """Go on from the begin to a moment, or until the weights are whole."""
-        ticks = round((until - self.begun) / TICK)
+        """Run from the start to a given time, or until the weights are complete."""
+        ticks = round((until - self.started_at) / TICK_SECONDS)
         for tick in range(ticks):
-            now = round(self.begun + tick * TICK, 3)
-            self._finish(now)
+            now = round(self.started_at + tick * TICK_SECONDS, 3)
+            self._end_fetches(now)
             if self.store.whole(self.manifest):
-                self._note(now, "whole")
+                self._log_step(now, "whole")
                 return
-            self._ask(now)
+            self._query_peers(now)
             while fetch := next_fetch(self.view, now, self.rng):
                 begin(self.view, fetch)
-                slots = FAR_SLOTS if fetch.far else 1
-                self._due.append((round(now + slots * SLOT, 3), fetch))
-                self._note(now, f"fetch {fetch.index} {fetch.source or 'origin'}")
+                slots = CROSS_REGION_SLOTS if fetch.far else 1
+                self._pending.append((round(now + slots * SLOT_SECONDS, 3), fetch))
+                self._log_step(now, f"fetch {fetch.index} {fetch.source or 'origin'}")
         held = " ".join(map(str, bits(self.store.held(self.manifest))))
-        self._note(until, f"stopped with {held}")
+        self._log_step(until, f"stopped with {held}")
 
-    def _note(self, now, text):
+    def _log_step(self, now, text):
         self.log.append(f"{now:.2f} {text}")
 
-    def _ask(self, now):
+    def _query_peers(self, now):
         for vm in whom_to_ask(self.view, now, self.rng):
-            if self.peers[vm].silent(now):
-                self._note(now, f"no word from {vm}")
+            if self.peers[vm].unresponsive(now):
+                self._log_step(now, f"no word from {vm}")
                 lose(self.view, vm, now)
             else:
                 hear(self.view, vm, self.peers[vm].held(now), now)
 
-    def _finish(self, now):
-        for due, fetch in [row for row in self._due if row[0] <= now]:
-            self._due.remove((due, fetch))
-            self._note(now, f"{self._outcome(fetch, now)} {fetch.index}")
+    def _end_fetches(self, now):
+        for ends_at, fetch in [row for row in self._pending if row[0] <= now]:
+            self._pending.remove((ends_at, fetch))
+            self._log_step(now, f"{self._outcome(fetch, now)} {fetch.index}")
             end(self.view, fetch)
 
     def _outcome(self, fetch, now):
@@ -135,7 +135,7 @@
         if fetch.source == ORIGIN and self.origin_down[0] <= now < self.origin_down[1]:
             origin_failed(self.view, now)
             return "origin down"
-        if peer and peer.silent(now):
+        if peer and peer.unresponsive(now):
             lose(self.view, peer.vm, now)
             return f"lost {peer.vm}"
         if peer and not peer.held(now) >> fetch.index & 1:
--- a/tests/weights/test_failures.py
+++ b/tests/weights/test_failures.py
@@ -1,7 +1,7 @@
-"""Failures of a transfer: nothing is read twice, nothing waits for ever."""
+"""Failures during a transfer: no chunk is read twice, and no VM waits forever."""
 
 import pytest
-from driver import ALL, SLOT, TEXTS, FakePeer, manifest_of
+from driver import ALL_CHUNKS, SLOT_SECONDS, TEXTS, FakePeer, manifest_of
 from wasabideck_policy.distribution import next_fetch
 from wasabideck_policy.membership import AGENT, Member
 from wasabideck_policy.views import Fetch, View, begin, bits, got_corrupt, set_members
@@ -12,20 +12,22 @@
 
 
 def test_a_vm_that_joins_late_reads_nothing_from_the_origin(session):
-    # The rent division's origin link is full whenever a VM is replaced: a new VM came
-    # first in rank for chunks that all others had, and read them again before it
-    # had asked anyone.
+    # Guards against a saturated link of the origin whenever a VM is replaced: the new
+    # VM is the first in rank for chunks that all others hold, and must not read them
+    # again before it has queried any peer.
     run = session(
-        FakePeer("b", holds={0.0: ALL}), FakePeer("c", holds={0.0: ALL}), vm="late"
+        FakePeer("b", holds={0.0: ALL_CHUNKS}),
+        FakePeer("c", holds={0.0: ALL_CHUNKS}),
+        vm="late",
     )
     run.run(9.0)
     assert run.log[-1].endswith("whole")
     assert fetches(run, "origin") == []
 
 
-def test_a_leaving_vm_owns_no_chunk():
-    # A planned stop in the midst of a rollout holds the others up by their patience:
-    # the chunks that the leaving VM was to read were nobody else's.
+def test_a_draining_vm_owns_no_chunk():
+    # Guards against a planned stop during a rollout that delays the others by their
+    # maximum wait, as nobody else reads the chunks that a draining VM owns.
     digests = manifest_of("v1", TEXTS).chunks
     stays = Member("b", AGENT, "")
     view = View("a", digests, 0.0)
@@ -33,37 +35,38 @@
     assert {vm for ranks in view.owners.ranks for vm in ranks} == {"a", "b"}
 
 
-def test_an_origin_that_is_down_is_read_when_it_is_back(session):
-    # A rollout begins while the origin is down and never goes on after it is back.
+def test_an_origin_that_was_down_is_read_again_after_its_recovery(session):
+    # Guards against a rollout that starts while the origin is down and does not
+    # continue after its recovery.
     run = session(FakePeer("b"), origin_down=(0.0, 3.0))
     run.run(30.0)
     assert any("origin down" in line for line in run.log)
     assert run.log[-1].endswith("whole")
 
 
-def test_with_the_origin_down_peers_give_what_they_have(session):
-    # One replaced VM serves nothing during an outage of the origin, though all its
-    # neighbours hold the weights.
-    run = session(FakePeer("b", holds={0.0: ALL}), origin_down=(0.0, 99.0))
+def test_peers_send_their_chunks_while_the_origin_is_down(session):
+    # Guards against a replaced VM that serves nothing during an outage of the origin,
+    # although all its neighbours hold the weights.
+    run = session(FakePeer("b", holds={0.0: ALL_CHUNKS}), origin_down=(0.0, 99.0))
     run.run(9.0)
     assert run.log[-1].endswith("whole")
 
 
-def test_a_vm_that_came_back_empty_holds_nothing(session):
-    # A rollout never ends: the one VM that held a chunk was replaced under its name
-    # within seconds. Its agent answers, so it is not lost, and everyone went on
-    # taking it for the chunk's holder; nobody read the origin again.
-    run = session(FakePeer("b", holds={0.0: ALL}, restarts=0.15))
+def test_a_vm_that_restarted_empty_holds_nothing(session):
+    # Guards against a rollout that never ends: the only VM that held a chunk is
+    # replaced under the same name within seconds. Its agent responds, so it is not
+    # lost. If it still counts as the chunk's holder, nobody reads the origin again.
+    run = session(FakePeer("b", holds={0.0: ALL_CHUNKS}, restarts_at=0.15))
     run.run(60.0)
     assert run.log[-1].endswith("whole")
 
 
-def test_a_stalled_link_is_left_for_another_peer(session):
-    # One VM stays behind all others: the link to the peer that it fetches from went
-    # silent, and it went on waiting for that one peer.
+def test_a_vm_switches_to_another_peer_when_a_link_stalls(session):
+    # Guards against a VM that falls behind all others because it keeps waiting for one
+    # peer after the link to that peer has stalled.
     run = session(
-        FakePeer("b", holds={0.0: ALL}, cut=(0.3, 99.0)),
-        FakePeer("c", holds={0.0: ALL}),
+        FakePeer("b", holds={0.0: ALL_CHUNKS}, unresponsive_between=(0.3, 99.0)),
+        FakePeer("c", holds={0.0: ALL_CHUNKS}),
     )
     run.run(9.0)
     assert fetches(run, "b") and fetches(run, "c")
@@ -71,7 +74,7 @@
 
 
 def test_chunks_of_an_adapters_base_are_not_fetched_again(session):
-    base = session(FakePeer("b", holds={0.0: ALL}))
+    base = session(FakePeer("b", holds={0.0: ALL_CHUNKS}))
     base.run(9.0)
     adapter = session(
         FakePeer("b", holds={0.0: 1 << len(TEXTS)}),
@@ -87,7 +90,7 @@
 
 
 @pytest.mark.parametrize("times", [1, 2, 5])
-def test_a_sender_of_corrupt_chunks_is_left_alone_longer_each_time(times, rng):
+def test_a_sender_of_corrupt_chunks_gets_an_exponential_backoff(times, rng):
     view = View("a", manifest_of("v1", TEXTS).chunks, 0.0)
     set_members(view, "item", [Member("b", AGENT, "")])
     for _ in range(times):
@@ -95,25 +98,27 @@
     assert view.peers["b"].busy_until >= 1.0 + 2**times * view.limits.slot
 
 
-def test_a_chunk_that_is_under_way_is_not_fetched_twice(session, rng):
-    run = session(FakePeer("b", holds={0.0: ALL}), FakePeer("c", holds={0.0: ALL}))
-    run._ask(0.0)
-    first = next_fetch(run.view, SLOT, rng)
+def test_a_chunk_that_is_being_fetched_is_not_fetched_twice(session, rng):
+    run = session(
+        FakePeer("b", holds={0.0: ALL_CHUNKS}), FakePeer("c", holds={0.0: ALL_CHUNKS})
+    )
+    run._query_peers(0.0)
+    first = next_fetch(run.view, SLOT_SECONDS, rng)
     begin(run.view, first)
-    second = next_fetch(run.view, SLOT, rng)
+    second = next_fetch(run.view, SLOT_SECONDS, rng)
     assert second.index != first.index
     assert list(bits(run.view.active)) == [first.index]
 
 
 def test_each_gateway_has_an_equal_share_of_the_chunks():
-    # The link into a region is half idle at the end of each rollout: one gateway had
-    # drawn far more chunks than the others, and they waited for it.
+    # Guards against a region's link that is half idle at the end of each rollout, when
+    # all wait for a gateway that was assigned far more chunks than the others.
     digests = manifest_of("v1", [str(i) for i in range(128)]).chunks
     members = [Member(f"vm-{i}", AGENT, "", "r2") for i in range(40)]
     shares = []
     for me in members:
         view = View(me.vm, digests, 0.0, "r2", origin_region="r1")
         set_members(view, "item", members)
-        shares.append(view.bringers.first.bit_count())
+        shares.append(view.region_fetchers.first.bit_count())
     assert sorted(shares)[-4:] == [32, 32, 32, 32]
     assert sum(shares) == 128
--- a/tests/weights/test_fetch_window.py
+++ b/tests/weights/test_fetch_window.py
@@ -1,36 +1,37 @@
-"""Fewer fetches at once on a link that has become slow."""
+"""Fewer concurrent fetches on a link that has become slow."""
 
 from wasabideck_policy.fetch_window import FetchWindow
 
-SLOT = 0.054
+SLOT_SECONDS = 0.054
 
 
-def seconds_behind(window, slower, fetches=30):
-    """What waits on a link that is so many times slower, after some fetches."""
+def queueing_delay(window, slowdown, fetches=30):
+    """Return the delay in seconds of a message on a slowed link, after some fetches."""
     for _ in range(fetches):
-        window.took(window.limit * SLOT * slower)
-    return window.limit * SLOT * slower
+        window.took(window.limit * SLOT_SECONDS * slowdown)
+    return window.limit * SLOT_SECONDS * slowdown
 
 
-def test_a_link_as_it_should_be_is_kept_full():
-    assert seconds_behind(FetchWindow(5, SLOT), 1.0) == 5 * SLOT
+def test_a_link_at_its_nominal_rate_is_fully_used():
+    assert queueing_delay(FetchWindow(5, SLOT_SECONDS), 1.0) == 5 * SLOT_SECONDS
 
 
 def test_on_a_slow_link_live_requests_do_not_wait_a_second():
-    # A VM's link narrows to a quarter. With five chunks in flight a request reaches
-    # the server 1.1 s late, and so does the end of one whose caller has left.
-    assert 5 * SLOT * 4 > 1.0
-    assert seconds_behind(FetchWindow(5, SLOT), 4.0) < 0.7
+    # A VM's link is reduced to a quarter of its rate. With five chunks in flight a
+    # request reaches the server 1.1 s late, and so does the cancellation of a request
+    # whose caller has disconnected.
+    assert 5 * SLOT_SECONDS * 4 > 1.0
+    assert queueing_delay(FetchWindow(5, SLOT_SECONDS), 4.0) < 0.7
 
 
-def test_the_window_opens_again():
-    window = FetchWindow(5, SLOT)
-    seconds_behind(window, 4.0)
-    assert seconds_behind(window, 1.0) == 5 * SLOT
+def test_the_window_grows_again_after_a_slow_link_recovers():
+    window = FetchWindow(5, SLOT_SECONDS)
+    queueing_delay(window, 4.0)
+    assert queueing_delay(window, 1.0) == 5 * SLOT_SECONDS
 
 
-def test_one_fetch_always_goes_on():
-    window = FetchWindow(5, SLOT)
+def test_the_window_never_shrinks_below_one_fetch():
+    window = FetchWindow(5, SLOT_SECONDS)
     for _ in range(20):
         window.took(60.0)
     assert window.limit == 1
--- a/tests/weights/test_large_rollout.py
+++ b/tests/weights/test_large_rollout.py
@@ -8,7 +8,7 @@
 
 CHUNKS = 96
 REGIONS = 5
-ORIGIN_CONNECTIONS = 48
+MAX_ORIGIN_CONNECTIONS = 48
 
 
 def view_of(vm, vms):
@@ -20,9 +20,9 @@
     return view
 
 
-def test_the_one_holder_near_by_is_found_among_hundreds_far_off():
-    # Guards against a VM that fetches nothing for a while since those that it weighs
-    # are drawn from all regions, and hardly any is of its own.
+def test_the_only_local_holder_is_found_among_hundreds_of_remote_ones():
+    # Guards against a VM that fetches nothing for a while because the holders that it
+    # considers are drawn from all regions, and hardly any is in its own region.
     for seed in range(20):
         view = view_of("vm-0", 400)
         for n in range(1, 400):
@@ -34,11 +34,11 @@
         assert (fetch.index, fetch.source) == (3, "vm-5")
 
 
-def test_all_who_read_from_the_origin_at_once_fit_into_its_connections():
-    # Guards against an origin that resets connections over its number: those who own
-    # its chunks lose a try, and a rollout of hundreds its first second.
+def test_concurrent_origin_reads_do_not_exceed_its_connections():
+    # Guards against an origin that resets excess connections: the VMs that own its
+    # chunks have to retry, which delays a rollout of hundreds of VMs by one second.
     readers = 0
     for n in range(400):
         fetch = next_fetch(view_of(f"vm-{n}", 400), 2.0, random.Random(n))
         readers += fetch is not None and not fetch.source
-    assert 0 < readers <= ORIGIN_CONNECTIONS / 2
+    assert 0 < readers <= MAX_ORIGIN_CONNECTIONS / 2
--- a/tests/weights/test_sessions.py
+++ b/tests/weights/test_sessions.py
@@ -1,6 +1,6 @@
-"""Golden files of whole transfer sessions of one VM."""
+"""Golden files of complete transfer sessions of one VM."""
 
-from driver import ALL, TEXTS, FakePeer
+from driver import ALL_CHUNKS, TEXTS, FakePeer
 
 
 def test_undisturbed(session, gaining, data_regression):
@@ -10,10 +10,10 @@
 
 
 def test_corrupt_chunk(session, gaining, data_regression):
-    # An operator sees an engine answer rubbish: a peer's memory was damaged, it sent
-    # a flipped byte, and nobody compared the chunk with its digest. Now the chunk is
-    # dropped, its sender is set back, and the chunk comes from another.
-    run = session(gaining("b", corrupt=ALL), gaining("c", first=4))
+    # Guards against an engine that serves corrupt weights: a peer with damaged memory
+    # sends a flipped byte, and the chunk is not compared with its digest. The chunk has
+    # to be dropped, its sender put into backoff, and another peer used.
+    run = session(gaining("b", corrupt=ALL_CHUNKS), gaining("c", first=4))
     run.run(5.0)
     assert any("corrupt from b" in line for line in run.log)
     assert run.log[-1].endswith("whole")
@@ -21,10 +21,13 @@
 
 
 def test_owner_dies(session, data_regression):
-    # A rollout never ends: the VM that was to read some chunks from the origin died
-    # before it read them, and everyone waits for it. The next in rank takes over.
+    # Guards against a rollout that never ends: the VM that owns some chunks of the
+    # origin terminates before it has read them, and all others wait for it. The next
+    # VM in rank has to read them.
     run = session(
-        FakePeer("b", cut=(0.0, 99.0)), FakePeer("c", holds={0.3: 0b1111}), vm="a"
+        FakePeer("b", unresponsive_between=(0.0, 99.0)),
+        FakePeer("c", holds={0.3: 0b1111}),
+        vm="a",
     )
     run.run(9.0)
     assert run.log[-1].endswith("whole")
@@ -32,38 +35,38 @@
 
 
 def test_superseded_mid_transfer(session, gaining, data_regression):
-    # An operator submits a second version while the first is still under way, and an
-    # engine is given chunks of both. The first is given up half-way and never whole;
-    # what both share is not fetched again.
+    # Guards against an engine that gets chunks of two versions: an operator submits a
+    # second version while the first is still being transferred. The first transfer is
+    # abandoned and never complete; chunks that both share are not fetched again.
     first = session(gaining("b"), gaining("c", first=4))
     first.run(0.6)
     later = [*TEXTS[:4], *(f"newer {i}" for i in range(4))]
     second = session(
-        FakePeer("b", holds={1.0: ALL}),
+        FakePeer("b", holds={1.0: ALL_CHUNKS}),
         FakePeer("c", holds={0.9: 0b11110000}),
         texts=later,
         version="v2",
         store=first.store,
-        begun=0.6,
+        started_at=0.6,
     )
-    kept = second.view.held
+    already_held = second.view.held
     second.run(5.0)
     first.store.keep_only({second.manifest.digest})
     assert second.store.whole(second.manifest)
     assert not first.store.whole(first.manifest)
     fetched = [line for line in second.log if "fetch" in line]
-    assert len(fetched) == len(later) - kept.bit_count()
+    assert len(fetched) == len(later) - already_held.bit_count()
     data_regression.check({"first": first.log, "second": second.log})
 
 
 def test_region_cut_and_back(session, data_regression):
-    # A region loses the others in the midst of a rollout and stays on the former
-    # version for ever, as its gateway gave the peers over the link up. They are
-    # asked again, and the transfer goes on when the link is back.
-    cut = (0.5, 4.0)
+    # Guards against a region that loses the connection to the others during a rollout
+    # and stays on the former version forever, as its gateway no longer queries its
+    # remote peers. They are queried again, and the transfer continues afterwards.
+    outage = (0.5, 4.0)
     run = session(
-        FakePeer("b", holds={0.0: ALL}, cut=cut),
-        FakePeer("c", holds={0.0: ALL}, cut=cut),
+        FakePeer("b", holds={0.0: ALL_CHUNKS}, unresponsive_between=outage),
+        FakePeer("c", holds={0.0: ALL_CHUNKS}, unresponsive_between=outage),
         FakePeer("d", region="r2"),
         region="r2",
     )
