--- a/packages/wasabideck_policy/wasabideck_policy/fetch_window.py
+++ b/packages/wasabideck_policy/wasabideck_policy/fetch_window.py
@@ -23,12 +23,12 @@
     ----------
     max_fetches : int
         Maximum concurrent fetches, used on a link with its nominal rate.
-    slot : float
+    slot_seconds : float
         Seconds that one chunk takes on such a link.
     """
 
     max_fetches: int
-    slot: float
+    slot_seconds: float
     limit: int = 0
 
     def __attrs_post_init__(self) -> None:
@@ -37,7 +37,7 @@
 
     def took(self, seconds: float) -> None:
         """Adjust the limit to the duration of a fetch."""
-        if seconds > SLOW_FETCH_SLOTS * self.slot:
+        if seconds > SLOW_FETCH_SLOTS * self.slot_seconds:
             self.limit = max(1, self.limit - 1)
-        elif seconds < FAST_FETCH_SLOTS * self.slot:
+        elif seconds < FAST_FETCH_SLOTS * self.slot_seconds:
             self.limit = min(self.max_fetches, self.limit + 1)
