--- a/packages/wasabideck_policy/wasabideck_policy/__init__.py
+++ b/packages/wasabideck_policy/wasabideck_policy/__init__.py
@@ -1,5 +1,5 @@
-"""Pure decisions of wasabideck: no I/O, no clock, no global random numbers.
+"""Pure decision functions of wasabideck: no I/O, no clock, no global random state.
 
-Every function that decides takes the present time as ``now`` (seconds) and, where
-it draws, a seeded ``rng``.
+Every function that depends on the time gets it as ``now`` (seconds), and one that draws
+random numbers gets a seeded ``rng``.
 """
--- a/packages/wasabideck_policy/wasabideck_policy/affinity.py
+++ b/packages/wasabideck_policy/wasabideck_policy/affinity.py
@@ -1,4 +1,4 @@
-"""Where prompt prefixes are cached: from events that come late and with gaps."""
+"""Cache affinity: where prompt prefixes are cached, from delayed, incomplete events."""
 
 from __future__ import annotations
 
@@ -9,31 +9,34 @@
 import xxhash
 from attrs import define, field
 
-__all__ = ["CacheView", "home", "prefix_name"]
+__all__ = ["CacheView", "home_server", "prefix_name"]
 
 PREFIX_BYTES = 64
-# How long a prefix is still believed in after an event was missed: it may have been
-# the one that told of its end.
-DOUBT_SECONDS = 10.0
-# An engine that was replaced has an empty cache and tells nobody that it lost the
-# old one; what was believed of it ends by itself.
-BELIEVED_SECONDS = 120.0
+# Expiry of all known prefixes after an event was missed: the event may have reported
+# the removal of any of them.
+GAP_EXPIRY_SECONDS = 10.0
+# Expiry of a prefix. The replacement of an engine starts with an empty cache, and
+# nobody reports the removal of the prefixes that the former engine held.
+EXPIRY_SECONDS = 120.0
 
 
-class _Placed(Protocol):
+class _HasVM(Protocol):
     vm: str
 
 
-S = TypeVar("S", bound=_Placed)
+S = TypeVar("S", bound=_HasVM)
 
 
 def prefix_name(body: bytes) -> str:
-    """Name of a prompt's prefix."""
+    """Return the name of a prompt's prefix, a short digest."""
     return hashlib.sha256(body[:PREFIX_BYTES]).hexdigest()[:8]
 
 
-def home(prefix: str, servers: Sequence[S]) -> S:
-    """The server where a prefix belongs, the same for every entry (rendezvous)."""
+def home_server(prefix: str, servers: Sequence[S]) -> S:
+    """Return the server that a prefix is assigned to, by rendezvous hashing.
+
+    It is the same server for every entry.
+    """
 
     def rank(server: S) -> int:
         return xxhash.xxh64_intdigest(f"{prefix}/{server.vm}".encode())
@@ -43,43 +46,43 @@
 
 @define
 class CacheView:
-    """Prefixes that an engine is believed to hold.
+    """Prefixes that an engine probably has in its cache.
 
     Attributes
     ----------
     sequence : int
-        Number of the last event taken in.
+        Number of the last applied event.
     changes : int
-        How often the set changed.
+        How many times the set changed.
     """
 
     sequence: int = 0
     changes: int = 0
-    _until: dict[str, float] = field(factory=dict)
+    _expires_at: dict[str, float] = field(factory=dict)
 
     def apply(self, events: Iterable[tuple[int, str, bool]], now: float) -> None:
-        """Take events in: number, prefix, and whether it was stored or dropped."""
+        """Apply events: number, prefix, and whether it was stored or dropped."""
         for number, name, stored in sorted(events):
             if number <= self.sequence:
                 continue
             if number > self.sequence + 1:
-                self._doubt(now)
+                self._shorten_expiry(now)
             self.sequence = number
             if stored:
-                self._until[name] = now + BELIEVED_SECONDS
+                self._expires_at[name] = now + EXPIRY_SECONDS
             else:
-                self._until.pop(name, None)
+                self._expires_at.pop(name, None)
             self.changes += 1
 
     def held(self, now: float) -> list[str]:
-        """Prefixes believed in at present."""
-        gone = [name for name, until in self._until.items() if until < now]
-        for name in gone:
-            del self._until[name]
-        self.changes += bool(gone)
-        return sorted(self._until)
-
-    def _doubt(self, now: float) -> None:
-        limit = now + DOUBT_SECONDS
-        for name, until in self._until.items():
-            self._until[name] = min(until, limit)
+        """Return the prefixes that have not expired."""
+        expired = [name for name, at in self._expires_at.items() if at < now]
+        for name in expired:
+            del self._expires_at[name]
+        self.changes += bool(expired)
+        return sorted(self._expires_at)
+
+    def _shorten_expiry(self, now: float) -> None:
+        limit = now + GAP_EXPIRY_SECONDS
+        for name, at in self._expires_at.items():
+            self._expires_at[name] = min(at, limit)
--- a/packages/wasabideck_policy/wasabideck_policy/backends.py
+++ b/packages/wasabideck_policy/wasabideck_policy/backends.py
@@ -1,4 +1,4 @@
-"""What a process believes of the backend servers, from the platform's list."""
+"""State of the backend servers, from the platform's list and from their reports."""
 
 from __future__ import annotations
 
@@ -8,34 +8,38 @@
 
 from .engine_news import FRESH_SECONDS, EngineNews
 
-__all__ = ["MOST_SILENT_PART", "Backend", "Backends", "Listed", "Loaded"]
+__all__ = ["MAX_SILENT_RATIO", "Backend", "Backends", "Listed", "Loaded"]
 
-# After an outage of the list, a server that lived through it is listed again within
-# about two seconds; its entry's removal is not believed for so long (seconds).
+# After an outage of the list, a server that is still running is listed again within
+# about two seconds. Until then, its removal from the list is ignored.
 RETURN_SECONDS = 2.0
-# A removal that an outage caused takes many servers away in one answer. From this
-# share of a service on, the removals are held as after a known outage.
-MASS_SHARE = 0.34
-MASS_LEAST = 3
-# Unless an outage is known they may as well have left together: they are held only as
-# long as a leaving server may get requests, less what word of it takes (seconds).
+# An outage removes many servers from the list in one response. When more than this
+# fraction of a service is removed at once, the servers are kept for a while, as after
+# a known outage.
+MASS_REMOVAL_RATIO = 0.34
+MIN_MASS_REMOVAL = 3
+# Without a known outage, the removed servers may as well have shut down together. They
+# are kept only as long as a server that shuts down may get requests, less the time
+# in which its removal is received.
 MASS_SECONDS = 1.2
-# With requests of this process on it, a server of which neither a byte nor its agent's
-# news came for so long is passed over (seconds): an engine tells at least at each pass
-# of its batch, 50 to 150 ms, and an agent four times a second, or once from afar.
+# A server that has requests of this process counts as unresponsive if neither a byte
+# nor a report of its agent was received for this time. An engine sends data at least
+# at each pass of its batch, 50 to 150 ms, and an agent reports four times a second, or
+# once a second to remote entries.
 QUIET_SECONDS = 0.7
-# With more than this part of several servers silent the fault is rather on the way to
-# them, or this process's own.
-MOST_SILENT_PART = 0.5
-WAY_LEAST = 3
-# Half of that time is enough when all around it are as quiet: the first stream to be
-# given up would else be the one that the others have not yet joined (seconds).
-WAY_QUIET_SECONDS = QUIET_SECONDS / 2
+# If more than this fraction of several servers is unresponsive, the cause is rather the
+# network to them, or this process itself.
+MAX_SILENT_RATIO = 0.5
+MIN_SERVERS_FOR_NETWORK_FAULT = 3
+# Half of that time is enough when most servers of a data centre are unresponsive:
+# otherwise the first stream would be cancelled before the other servers count as
+# unresponsive too.
+NETWORK_QUIET_SECONDS = QUIET_SECONDS / 2
 
 
 @frozen
 class Loaded:
-    """Layers of a model's version that an engine holds, ``last`` left out."""
+    """Range of layers of a model's version that an engine holds, ``last`` excluded."""
 
     model: str
     version: int
@@ -45,16 +49,16 @@
 
 @frozen
 class Listed:
-    """One server as the platform's list gives it.
+    """One server as described by the platform's list.
 
     Attributes
     ----------
     server : str
-        Name of one start of the server; a restart mostly has another.
+        Name of one run of the server; a restarted server usually has another name.
     born : int
-        When it started, milliseconds of wall time; 0 when not told.
+        Start time, milliseconds of wall time; 0 if unknown.
     cold_seconds : float
-        How much longer it is slow after its start.
+        Remaining time for which it is slow after its start.
     """
 
     server: str
@@ -70,35 +74,36 @@
 
 @define(eq=False)
 class Backend:
-    """One server: what the list says, and what this process saw itself.
+    """State of one server: its list entry, and what this process observed.
 
     Attributes
     ----------
     in_progress : int
-        Requests of this process on it now.
+        Requests of this process that are on it now.
     asked_at : float
-        When the first request was sent since which nothing was heard of it, or that
-        it has had since it had none, seconds.
+        When the current wait for data began, seconds: this process sent a request
+        while it had none on the server, and had received data since the last wait.
     sent_since : int
-        Requests that this process sent to it since its agent last told.
+        Requests that this process sent to it since its agent's last report.
     unread : set
-        Requests of this process whose first event has not come.
+        Requests of this process whose first event has not been received.
     others : float
-        Requests of other processes on it when it last told.
+        Requests of other processes on it according to the last report of its load.
     told_at : float
-        When it last told its load, seconds; 0 when it never did.
+        When its load was last reported, seconds; 0 if it never was.
     heard_at : float
-        When any byte last came from it, seconds.
+        When any byte was last received from it, seconds.
     versions : dict of str to int
-        Versions of weights that its answers or its agent told of, by model.
+        Versions of weights that its responses or its agent reported, by model.
     news : EngineNews or None
-        What its agent last told, at ``news_at``; its own answers tell of load only.
+        Last report of its agent, received at ``news_at``. Responses of the server
+        itself report only its load.
     stopping_since : float or None
-        Since when its agent has said that it takes no new requests, seconds.
+        Since when its agent has reported that it accepts no new requests, seconds.
     full_until : float
-        Until when it is taken to be full, having refused a request.
+        Until when it counts as full, because it refused a request.
     held_until : float
-        Until when its removal from the list is not believed; 0 while it is listed.
+        Until when its removal from the list is ignored; 0 while it is listed.
     """
 
     listed: Listed
@@ -118,40 +123,42 @@
 
     @property
     def server(self) -> str:
-        """Name of this start of the server."""
+        """Name of this run of the server."""
         return self.listed.server
 
     def begin(self, now: float) -> None:
-        """Count one more request of this process on it."""
-        # Requests that were given up without a word do not make it talk: counted from
-        # the next one, it would draw requests for another while.
-        if self.in_progress == 0 and self._last_sign() > self.asked_at:
+        """Record that this process sends one more request to it."""
+        # A server that sent no data before its requests were cancelled remains
+        # unresponsive: if the wait started anew with the next request, it would attract
+        # requests for another while.
+        if self.in_progress == 0 and self._last_received_at() > self.asked_at:
             self.asked_at = now
         self.in_progress += 1
         self.sent_since += 1
 
     def silent(self, now: float, quiet: float = QUIET_SECONDS) -> bool:
-        """Whether nothing was heard of it for long while requests wait on it.
+        """Whether it sent no data for too long while requests wait on it.
 
-        One that has none of them is not silent, so that one is always tried on it.
+        A server without requests counts as responsive, so that one request at a time
+        is always tried on it.
         """
-        last = max(self.asked_at, self._last_sign())
+        last = max(self.asked_at, self._last_received_at())
         return self.in_progress > 0 and now - last > quiet
 
-    def _last_sign(self) -> float:
+    def _last_received_at(self) -> float:
         return max(self.heard_at, self.news_at)
 
     def hear_load(self, total: int, now: float) -> None:
-        """Take in the load that it told itself, with an answer."""
+        """Record the load that the server itself reported in a response."""
         self.others = max(0, total - self.in_progress)
         self.told_at = now
         if self.fresh_news(now) is None:
-            # Its agent is gone: what the others are taken to have sent would only grow
-            # with each request, and a sound server would look full for good.
+            # Its agent is lost. The assumed requests of other entries would only grow
+            # with each request, and a healthy server would seem full forever.
             self.sent_since = 0
 
     def hear(self, news: EngineNews, now: float) -> None:
-        """Take in what its agent tells of it."""
+        """Record a report of its agent."""
         self.news = news
         if news.serving:
             self.stopping_since = None
@@ -162,34 +169,34 @@
         self.sent_since = 0
 
     def fresh_news(self, now: float) -> EngineNews | None:
-        """What its agent told, unless that was too long ago."""
+        """Return the last report of its agent, or None if it is too old."""
         return self.news if now - self.news_at <= FRESH_SECONDS else None
 
     def holds(self, model: str, layers: int, now: float) -> int:
-        """Version of which it holds all layers of the model; 0 for none."""
-        if news := self.fresh_news(now):
-            return news.version
-        told = self.versions.get(model, 0)
-        if told:
-            return told
-        whole = [
-            part.version
-            for part in self.listed.loaded
-            if part.model == model and part.first == 0 and part.last >= layers
+        """Return the version of which it holds all layers of the model; 0 for none."""
+        if report := self.fresh_news(now):
+            return report.version
+        reported = self.versions.get(model, 0)
+        if reported:
+            return reported
+        complete = [
+            loaded.version
+            for loaded in self.listed.loaded
+            if loaded.model == model and loaded.first == 0 and loaded.last >= layers
         ]
-        return max(whole, default=0)
+        return max(complete, default=0)
 
 
 @define
 class Backends:
-    """Servers by name; entries that lapsed in an outage of the list are held.
+    """Servers by name; entries that expired in an outage of the list are kept.
 
     Attributes
     ----------
     outage_ended : float
-        When the list was last back after an outage, seconds.
+        When the list last became available again after an outage, seconds.
     mass_seconds : float
-        How long a mass of removals is not believed without a known outage.
+        How long a mass removal is ignored if no outage is known.
     """
 
     _known: dict[str, Backend] = field(factory=dict)
@@ -199,27 +206,27 @@
     _of_service: dict[str, tuple[Backend, ...]] = field(factory=dict)
     _near: dict[tuple[str, str], tuple[Backend, ...]] = field(factory=dict)
     _indexed: bool = False
-    _held_first: float = float("inf")
+    _next_held_until: float = float("inf")
 
     def __len__(self) -> int:
         return len(self._known)
 
     def names(self) -> set[str]:
-        """All known servers."""
+        """Return the names of all known servers."""
         return set(self._known)
 
     def get(self, server: str) -> Backend | None:
-        """A known server, or None."""
+        """Return a known server, or None."""
         return self._known.get(server)
 
     def of_service(self, service: str, now: float) -> tuple[Backend, ...]:
-        """Servers of a service that may get new requests now."""
+        """Return the servers of a service that may get new requests now."""
         self._drop_removed(now)
         self._index()
         return self._of_service.get(service, ())
 
     def near(self, service: str, data_centre: str, now: float) -> tuple[Backend, ...]:
-        """Those of a service in one data centre that may get new requests now."""
+        """Return the servers in one data centre that may get new requests now."""
         self._drop_removed(now)
         self._index()
         return self._near.get((service, data_centre), ())
@@ -231,34 +238,37 @@
         return known is not None and not known.listed.leaving
 
     def way_silent(self, data_centre: str, now: float) -> bool:
-        """Whether the way to a data centre is silent, and not one server there.
+        """Whether the network to a data centre is unresponsive, and not one server.
 
-        A link between regions that is full for a second keeps the answers of all
-        servers behind it. Each stream from there would be given up, and begun again
-        over the same link at another server that is as silent.
+        A link between regions that is saturated for a second delays the responses of
+        all servers behind it. Each stream from there would be cancelled, and started
+        again over the same link at another server that is as unresponsive.
         """
         busy = [
             b
             for b in self._known.values()
             if b.listed.data_centre == data_centre and b.in_progress > 0
         ]
-        silent = sum(b.silent(now, WAY_QUIET_SECONDS) for b in busy)
-        return len(busy) >= WAY_LEAST and silent > len(busy) * MOST_SILENT_PART
+        silent = sum(b.silent(now, NETWORK_QUIET_SECONDS) for b in busy)
+        return (
+            len(busy) >= MIN_SERVERS_FOR_NETWORK_FAULT
+            and silent > len(busy) * MAX_SILENT_RATIO
+        )
 
     def at(self, address: str) -> Backend | None:
-        """The server at an address, the youngest one if several are listed there."""
+        """Return the server at an address; of several, the last one that started."""
         self._index()
         return self._at.get(address)
 
     def take(self, listed: Listed) -> Backend:
-        """Take in one entry of the list."""
+        """Add or update one entry of the list, and return its server."""
         self._indexed = False
         known = self._known.get(listed.server)
         if known is None or known.listed.address != listed.address:
             known = self._known[listed.server] = Backend(listed)
             return known
         if known.listed.born != listed.born:
-            # It started again under its name and holds nothing of before.
+            # It restarted under the same name and has lost its former state.
             known = self._known[listed.server] = Backend(listed)
         elif known.listed.loaded != listed.loaded:
             known.versions.clear()
@@ -267,7 +277,7 @@
         return known
 
     def keep_only(self, listed: set[str], now: float, since: float) -> list[str]:
-        """Remove what a whole list lacks; returns which servers those are."""
+        """Remove the servers that a complete list lacks, and return their names."""
         gone = [name for name in self._known if name not in listed]
         self.remove(gone, now, since)
         return gone
@@ -275,42 +285,43 @@
     def remove(
         self, servers: Iterable[str], now: float, since: float | None = None
     ) -> None:
-        """Note that entries were removed: gone at once, or held after an outage.
+        """Remove servers from the list, now or, after an outage, a while later.
 
         Parameters
         ----------
         since : float or None
-            From when on they may have been removed, seconds; None for now. Servers that
-            left together may get requests for a while from then on, and not from when
-            this was heard of.
+            Earliest time of their removal, seconds; None for now. Servers that shut
+            down together may get requests for a while after that time, and not after
+            the time at which their removal was received.
         """
         self._indexed = False
         since = now if since is None else since
-        found = [self._known[name] for name in servers if name in self._known]
+        removed = [self._known[name] for name in servers if name in self._known]
         held_until = self.outage_ended + RETURN_SECONDS
-        if self._is_mass(found):
+        if self._is_mass_removal(removed):
             held_until = max(held_until, since + self.mass_seconds)
-        for backend in found:
-            # One that was leaving when it was last listed has left.
+        for backend in removed:
+            # A server that was last listed as shutting down has shut down.
             if held_until <= now or backend.listed.leaving:
                 del self._known[backend.server]
             elif not backend.held_until:
                 backend.held_until = held_until
-                self._held_first = min(self._held_first, held_until)
+                self._next_held_until = min(self._next_held_until, held_until)
 
-    def _is_mass(self, removed: list[Backend]) -> bool:
-        """Whether so many of a service vanished at once that the list is at fault."""
-        sizes = _count(self._known.values())
-        lost = _count(b for b in removed if not b.listed.leaving)
+    def _is_mass_removal(self, removed: list[Backend]) -> bool:
+        """Whether so many servers were removed at once that the list is at fault."""
+        sizes = _count_by_service(self._known.values())
+        lost = _count_by_service(b for b in removed if not b.listed.leaving)
         return any(
-            n >= MASS_LEAST and n > MASS_SHARE * sizes[name] for name, n in lost.items()
+            n >= MIN_MASS_REMOVAL and n > MASS_REMOVAL_RATIO * sizes[name]
+            for name, n in lost.items()
         )
 
     def _index(self) -> None:
-        """Sort servers by address and by service, if any of them has changed.
+        """Index servers by address and by service, if any of them has changed.
 
-        Each request and each word of an agent looks servers up, and at the target size
-        there are hundreds of both a second, and over a thousand servers.
+        Each request and each agent's report looks servers up. In a deployment of the
+        target size there are hundreds of both a second, and over a thousand servers.
         """
         if self._indexed:
             return
@@ -322,38 +333,38 @@
                 self._at[b.listed.address] = b
         found: dict[str, list[Backend]] = {}
         for b in self._known.values():
-            if not b.listed.leaving and not _outlived(b, self._at):
+            if not b.listed.leaving and not _is_replaced(b, self._at):
                 found.setdefault(b.listed.service, []).append(b)
-        self._of_service = {name: tuple(some) for name, some in found.items()}
-        near: dict[tuple[str, str], list[Backend]] = {}
-        for name, some in found.items():
-            for b in some:
-                near.setdefault((name, b.listed.data_centre), []).append(b)
-        self._near = {place: tuple(some) for place, some in near.items()}
+        self._of_service = {name: tuple(members) for name, members in found.items()}
+        by_data_centre: dict[tuple[str, str], list[Backend]] = {}
+        for name, members in found.items():
+            for b in members:
+                by_data_centre.setdefault((name, b.listed.data_centre), []).append(b)
+        self._near = {key: tuple(members) for key, members in by_data_centre.items()}
 
     def _drop_removed(self, now: float) -> None:
-        if now < self._held_first:
+        if now < self._next_held_until:
             return
         self._indexed = False
         for backend in list(self._known.values()):
             if backend.held_until and now >= backend.held_until:
                 del self._known[backend.server]
         held = (b.held_until for b in self._known.values() if b.held_until)
-        self._held_first = min(held, default=float("inf"))
+        self._next_held_until = min(held, default=float("inf"))
 
 
-def _outlived(backend: Backend, youngest: Mapping[str, Backend]) -> bool:
-    """Whether a younger server is listed at the address.
+def _is_replaced(backend: Backend, latest_at: Mapping[str, Backend]) -> bool:
+    """Whether a server with a later start is listed at the same address.
 
-    After a loss of power the entries of servers that are gone stay listed for seconds,
-    with the weights that they held. A process that starts then has no other word of
-    them, and what it sends there comes back refused, one try spent.
+    After a power loss, the entries of terminated servers stay listed for seconds, with
+    the weights that they held. A process that starts then has no other information on
+    them; the requests that it sends there are refused, and each has lost one try.
     """
     born = backend.listed.born
-    return 0 < born < youngest[backend.listed.address].listed.born
+    return 0 < born < latest_at[backend.listed.address].listed.born
 
 
-def _count(backends: Iterable[Backend]) -> Mapping[str, int]:
+def _count_by_service(backends: Iterable[Backend]) -> Mapping[str, int]:
     counts: dict[str, int] = {}
     for backend in backends:
         service = backend.listed.service
--- a/packages/wasabideck_policy/wasabideck_policy/concurrency.py
+++ b/packages/wasabideck_policy/wasabideck_policy/concurrency.py
@@ -1,4 +1,4 @@
-"""How many requests a server takes at once, where it reports no load."""
+"""Adaptive concurrency limit for a server that reports no load."""
 
 from __future__ import annotations
 
@@ -6,54 +6,56 @@
 
 __all__ = ["AdaptiveLimit"]
 
-SMOOTHING = 0.1
-QUEUE_LOW = 0.5
-QUEUE_HIGH = 1.5
-DECREASE = 0.25
-# After so many requests the limit is halved for a moment and the least time measured
-# anew. A server that became slower for good would else be held at one request, and
-# a least time that only fades lets the limit creep up for as long as it is used up.
-PROBE_EVERY = 200
+SMOOTHING_FACTOR = 0.1
+MIN_QUEUED_REQUESTS = 0.5
+MAX_QUEUED_REQUESTS = 1.5
+LIMIT_DECREASE = 0.25
+# Number of requests after which the limit is halved for a moment and the minimum
+# duration is measured again. Without that, a server that became permanently slower
+# would be limited to one request. If the minimum duration merely decayed, the limit
+# would keep growing while it is fully used.
+PROBE_INTERVAL_REQUESTS = 200
 
 
 @define
 class AdaptiveLimit:
-    """Limit that follows how long requests take.
+    """Concurrency limit that depends on the duration of requests.
 
-    Requests that queue inside the server make it answer later than it can: from
-    the least and the present time follows how many of them queue there. The limit
-    falls while too many do, and grows while it is used up and hardly any does.
+    Requests that queue inside the server increase the duration of its responses. The
+    number of queued requests is derived from the minimum and the current duration. The
+    limit decreases while too many requests queue there, and increases while it is fully
+    used and hardly any request queues.
 
     Attributes
     ----------
-    least_seconds : float
-        Time of a request that met no queue.
+    min_seconds : float
+        Duration of a request that did not queue.
     """
 
     limit: float
     most: float
-    least: float = 1.0
-    least_seconds: float = 0.0
+    min_limit: float = 1.0
+    min_seconds: float = 0.0
     seconds: float = 0.0
-    _seen: int = 0
+    _observed: int = 0
 
     def observe(self, seconds: float, running: int) -> None:
-        """Note how long a request took, and how many ran when it ended."""
+        """Record a request's duration and the number of running requests at its end."""
         if not self.seconds:
-            self.least_seconds = self.seconds = seconds
-        self._seen += 1
-        if self._seen % PROBE_EVERY == 0:
-            self.limit = max(self.least, self.limit / 2)
-            self.least_seconds = self.seconds = seconds
-        self.least_seconds = min(self.least_seconds, seconds)
-        self.seconds += SMOOTHING * (seconds - self.seconds)
-        queued = self.limit * (1 - self.least_seconds / max(self.seconds, 1e-9))
-        if queued > QUEUE_HIGH:
-            self.limit = max(self.least, self.limit - DECREASE)
-        elif queued < QUEUE_LOW and running >= int(self.limit):
+            self.min_seconds = self.seconds = seconds
+        self._observed += 1
+        if self._observed % PROBE_INTERVAL_REQUESTS == 0:
+            self.limit = max(self.min_limit, self.limit / 2)
+            self.min_seconds = self.seconds = seconds
+        self.min_seconds = min(self.min_seconds, seconds)
+        self.seconds += SMOOTHING_FACTOR * (seconds - self.seconds)
+        queued = self.limit * (1 - self.min_seconds / max(self.seconds, 1e-9))
+        if queued > MAX_QUEUED_REQUESTS:
+            self.limit = max(self.min_limit, self.limit - LIMIT_DECREASE)
+        elif queued < MIN_QUEUED_REQUESTS and running >= int(self.limit):
             self.limit = min(self.most, self.limit + 1 / self.limit)
 
     @property
     def slots(self) -> int:
-        """Whole requests at once."""
+        """Number of requests that may run concurrently, at least 1."""
         return max(1, int(self.limit))
--- a/packages/wasabideck_policy/wasabideck_policy/engine_news.py
+++ b/packages/wasabideck_policy/wasabideck_policy/engine_news.py
@@ -1,4 +1,4 @@
-"""What agents tell of their engines, and when service is back."""
+"""Reports of agents on their engines, and when an engine can serve again."""
 
 from __future__ import annotations
 
@@ -8,30 +8,31 @@
 
 __all__ = ["FRESH_SECONDS", "EngineNews", "back_in", "worth_telling"]
 
-# News this old says nothing about the present (seconds): an agent tells four times a
-# second, and a datagram or two may be lost.
+# Maximum age of a report; older ones are ignored. An agent reports four times a second,
+# and a datagram or two may be lost.
 FRESH_SECONDS = 1.2
-# A change of so many requests is told at once also to those who are told less often.
+# A change by this many requests is reported immediately also to processes that get
+# less frequent reports.
 BIG_CHANGE = 4
 
 
 @frozen
 class EngineNews:
-    """One agent's word on its engine.
+    """One agent's report on its engine.
 
     Attributes
     ----------
     version : int
-        Version of the weights that it begins requests on; 0 for none. During a swap
-        that is the new one: what waits there is begun after it.
+        Version of the weights on which it starts requests; 0 for none. During a swap
+        it is the new version: waiting requests start after the swap.
     serving : bool
-        It takes new requests: no swap is due or in progress.
+        Whether it accepts new requests: no swap is due or in progress.
     ready_in : float
-        Seconds until it serves the newest version that is known there; 0 when it does.
+        Seconds until it serves the newest version known to the agent; 0 if it does.
     named : int
-        The newest version that is known there, with its age.
+        The newest version of known age that the agent knows.
     pace : float
-        How many times slower than usual it works.
+        Factor by which it is slower than usual.
     """
 
     address: str
@@ -45,33 +46,33 @@
 
     @property
     def pressed(self) -> int:
-        """Requests on it, running or waiting."""
+        """Number of requests on it, running or waiting."""
         return self.running + self.waiting
 
 
 def back_in(
     news: Iterable[tuple[EngineNews, float]], least_version: int
 ) -> float | None:
-    """Seconds until the first of some engines may run a request; None if unknown.
+    """Return the seconds until the first engine may run a request; None if unknown.
 
     Parameters
     ----------
     news : iterable of (EngineNews, float)
-        What agents told, and how many seconds ago.
+        Reports of agents and their ages, seconds.
     least_version : int
-        Version of the weights that the request needs at least.
+        Minimum version of the weights that the request needs.
     """
-    found = []
-    for told, age in news:
-        if told.serving and told.version >= max(least_version, 1):
+    delays = []
+    for report, age in news:
+        if report.serving and report.version >= max(least_version, 1):
             return 0.0
-        if told.named >= least_version and told.ready_in > 0:
-            found.append(told.ready_in - age)
-    return max(0.05, min(found)) if found else None
+        if report.named >= least_version and report.ready_in > 0:
+            delays.append(report.ready_in - age)
+    return max(0.05, min(delays)) if delays else None
 
 
 def worth_telling(last: EngineNews | None, news: EngineNews) -> bool:
-    """Whether news differs so much that everyone should hear of it at once."""
+    """Whether a report differs enough from the last one to be sent to all at once."""
     if last is None:
         return True
     if (last.serving, last.version, last.named) != (
--- a/packages/wasabideck_policy/wasabideck_policy/engine_state.py
+++ b/packages/wasabideck_policy/wasabideck_policy/engine_state.py
@@ -1,4 +1,4 @@
-"""What an engine says of itself, and how it answers an order."""
+"""An engine's report of its own state, and its response to an order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OrderAnswer(Enum):
-    """How an engine took an order."""
+    """An engine's response to an order to load weights."""
 
     BEGUN = "begun"
     IN_EFFECT = "in-effect"
@@ -21,24 +21,24 @@
 
 @frozen
 class EngineState:
-    """An engine's own report.
+    """State of an engine as reported by itself.
 
     Attributes
     ----------
     loaded : tuple of Loaded
-        Layers that it holds.
+        Ranges of layers that it holds.
     busy : bool
         Whether an order is in progress.
     orders : int
         Orders that it has accepted since it started.
     running, waiting : int
-        Requests.
+        Number of requests.
     memory_used, memory_total : float
-        Tokens times layers that its memory holds, and can hold.
+        Used and total size of its memory, in tokens times layers.
     pace : float
-        How many times slower than usual it works.
+        Factor by which it is slower than usual.
     born : int
-        When it started, milliseconds of wall time.
+        Start time, milliseconds of wall time.
     """
 
     loaded: tuple[Loaded, ...] = ()
--- a/packages/wasabideck_policy/wasabideck_policy/fair_queue.py
+++ b/packages/wasabideck_policy/wasabideck_policy/fair_queue.py
@@ -1,7 +1,7 @@
-"""The order in which waiting requests are given a server's slots.
+"""Order in which waiting requests get a server's slots.
 
-Classes are strict, with aging; inside a class the organisations take turns by what
-they have used, so that none of them can crowd out the others.
+Priority classes are strict, with aging. Within a class, slots are divided fairly by
+what each organisation has used, so that none of them can starve the others.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 from attrs import define, field, frozen
 
-__all__ = ["AGE_SECONDS", "MOST_URGENT", "FairQueue", "Waiting"]
+__all__ = ["AGING_SECONDS", "MOST_URGENT", "FairQueue", "Waiting"]
 
 MOST_URGENT = 0
-# A request climbs one class each time it has waited this long, though never into
-# the most urgent one: that would let greetings delay a dispute.
-AGE_SECONDS = 3.0
-SMOOTHING = 0.02
-LEAST_SHARE = 0.01
+# Each time a request has waited this long, it is raised by one class, but never into
+# the most urgent one: otherwise greetings would delay a dispute.
+AGING_SECONDS = 3.0
+SMOOTHING_FACTOR = 0.02
+MIN_ACTIVE_RATIO = 0.01
 
 
 @frozen(eq=False)
@@ -28,9 +28,9 @@
     Attributes
     ----------
     since : float
-        When it came, seconds.
+        Arrival time, seconds.
     deadline : float
-        When its answer has to be whole, seconds.
+        When its response must be complete, seconds.
     """
 
     organisation: str
@@ -38,49 +38,51 @@
     since: float
     deadline: float
 
-    def level(self, now: float) -> int:
-        """Present class, which falls as it waits."""
+    def current_class(self, now: float) -> int:
+        """Return its priority class now; the number decreases while it waits."""
         if self.priority == MOST_URGENT:
             return MOST_URGENT
-        climbed = int((now - self.since) / AGE_SECONDS)
-        return max(MOST_URGENT + 1, self.priority - climbed)
+        raised = int((now - self.since) / AGING_SECONDS)
+        return max(MOST_URGENT + 1, self.priority - raised)
 
 
 @define
-class _Turns:
-    """Start-time fair queueing of one class, in requests.
+class _FairClass:
+    """Start-time fair queueing of one class; each request counts one unit.
 
     Attributes
     ----------
-    shares : dict of str to float
-        Smoothed share of the latest turns that each organisation was given.
+    ratios : dict of str to float
+        Smoothed fraction of the latest starts that each organisation got.
     """
 
-    reached: float = 0.0
-    used: dict[str, float] = field(factory=dict)
-    shares: dict[str, float] = field(factory=dict)
+    virtual_time: float = 0.0
+    finish_times: dict[str, float] = field(factory=dict)
+    ratios: dict[str, float] = field(factory=dict)
 
-    def start(self, organisation: str) -> float:
-        """When an organisation's next request starts, in the class's own time.
+    def start_time(self, organisation: str) -> float:
+        """Return the virtual start time of an organisation's next request.
 
-        Whoever comes back after a pause starts at the present and not in the past:
-        unused turns are not saved up.
+        An organisation that was idle starts at the present virtual time and not in the
+        past: unused slots are not saved up.
         """
-        return max(self.reached, self.used.get(organisation, 0.0))
+        return max(self.virtual_time, self.finish_times.get(organisation, 0.0))
 
-    def take(self, organisation: str) -> None:
-        """Give an organisation its turn."""
-        self.reached = self.start(organisation)
-        self.used[organisation] = self.reached + 1.0
-        for known in {organisation, *self.shares}:
-            share = self.shares.get(known, 0.0)
-            self.shares[known] = share + SMOOTHING * ((known == organisation) - share)
+    def count_start(self, organisation: str) -> None:
+        """Record that a request of an organisation starts."""
+        self.virtual_time = self.start_time(organisation)
+        self.finish_times[organisation] = self.virtual_time + 1.0
+        for known in {organisation, *self.ratios}:
+            ratio = self.ratios.get(known, 0.0)
+            self.ratios[known] = ratio + SMOOTHING_FACTOR * (
+                (known == organisation) - ratio
+            )
 
-    def turns_per_own(self, organisation: str) -> float:
-        """Turns of the class for each of an organisation's own, when it waits."""
-        active = sum(share > LEAST_SHARE for share in self.shares.values())
-        share = self.shares.get(organisation, 0.0)
-        return max(1.0, min(float(active), 1 / max(share, LEAST_SHARE)))
+    def starts_per_own(self, organisation: str) -> float:
+        """Return the starts in the class per start of an organisation that waits."""
+        active = sum(ratio > MIN_ACTIVE_RATIO for ratio in self.ratios.values())
+        ratio = self.ratios.get(organisation, 0.0)
+        return max(1.0, min(float(active), 1 / max(ratio, MIN_ACTIVE_RATIO)))
 
 
 @define
@@ -88,55 +90,65 @@
     """Requests that wait at one server."""
 
     _waiting: list[Waiting] = field(factory=list)
-    _turns: dict[int, _Turns] = field(factory=dict)
+    _classes: dict[int, _FairClass] = field(factory=dict)
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def add(self, waiting: Waiting) -> None:
-        """Let a request wait."""
+        """Add a waiting request."""
         self._waiting.append(waiting)
 
     def remove(self, waiting: Waiting) -> None:
-        """Take a request out that was given up, or given its slot."""
+        """Remove a request that was cancelled, or that got its slot."""
         self._waiting.remove(waiting)
 
     def first(self, now: float) -> Waiting | None:
-        """The request whose turn is next; it goes on waiting."""
-        return min(self._waiting, key=self._turn(now), default=None)
+        """Return the request that is next, without removing it."""
+        return min(self._waiting, key=self._sort_key(now), default=None)
 
-    def take(self, waiting: Waiting, now: float) -> None:
-        """Give a request its turn."""
+    def dequeue(self, waiting: Waiting, now: float) -> None:
+        """Remove a request that starts, and count its start."""
         self.remove(waiting)
-        turns = self._turns.setdefault(waiting.level(now), _Turns())
-        turns.take(waiting.organisation)
+        fair_class = self._classes.setdefault(waiting.current_class(now), _FairClass())
+        fair_class.count_start(waiting.organisation)
 
-    def waits(self, organisation: str) -> bool:
-        """Whether an organisation has a request that waits."""
+    def has_waiting(self, organisation: str) -> bool:
+        """Whether an organisation has a waiting request."""
         return any(w.organisation == organisation for w in self._waiting)
 
-    def ahead_of(self, waiting: Waiting, now: float) -> int:
-        """How many requests would be given a slot before one that comes now."""
-        level = waiting.level(now)
-        urgent = sum(w.level(now) < level for w in self._waiting)
-        queues = Counter(w.organisation for w in self._waiting if w.level(now) == level)
+    def count_ahead(self, waiting: Waiting, now: float) -> int:
+        """Return how many requests would get a slot before one that arrives now."""
+        current_class = waiting.current_class(now)
+        urgent = sum(w.current_class(now) < current_class for w in self._waiting)
+        queues = Counter(
+            w.organisation
+            for w in self._waiting
+            if w.current_class(now) == current_class
+        )
         own = queues.pop(waiting.organisation, 0)
-        # The organisations take turns, so of each other queue no more than as many
-        # as this organisation's own turns come first.
+        # Slots are divided fairly between the organisations: of each other
+        # organisation's queue, at most as many requests start first as this one has.
         same = own + sum(min(n, own + 1) for n in queues.values())
-        # Small organisations rarely wait, and take their turns all the same: what is
-        # in the queues now is less than what comes first in the end.
-        turns = self._turns.setdefault(level, _Turns())
-        return urgent + max(same, int(own * turns.turns_per_own(waiting.organisation)))
+        # Small organisations rarely have waiting requests, but use slots all the same:
+        # the queues hold fewer requests now than will start first in the end.
+        fair_class = self._classes.setdefault(current_class, _FairClass())
+        return urgent + max(
+            same, int(own * fair_class.starts_per_own(waiting.organisation))
+        )
 
     def late(self, now: float, service_time: float) -> list[Waiting]:
-        """Requests that could no longer end in time if they began now."""
+        """Return the requests that could not end in time even if they started now."""
         return [w for w in self._waiting if now + service_time > w.deadline]
 
-    def _turn(self, now: float) -> Callable[[Waiting], tuple[int, float, float]]:
+    def _sort_key(self, now: float) -> Callable[[Waiting], tuple[int, float, float]]:
         def key(waiting: Waiting) -> tuple[int, float, float]:
-            level = waiting.level(now)
-            turns = self._turns.setdefault(level, _Turns())
-            return level, turns.start(waiting.organisation), waiting.since
+            current_class = waiting.current_class(now)
+            fair_class = self._classes.setdefault(current_class, _FairClass())
+            return (
+                current_class,
+                fair_class.start_time(waiting.organisation),
+                waiting.since,
+            )
 
         return key
--- a/packages/wasabideck_policy/wasabideck_policy/late_lane.py
+++ b/packages/wasabideck_policy/wasabideck_policy/late_lane.py
@@ -1,11 +1,12 @@
-"""How many late requests an entry lets engines begin at a time, and how many wait.
-
-What is late already earns a fraction of what is in time. At an engine it takes a place
-for seconds, and its prompt holds up all that are there. After an outage everyone whom
-it made late comes at once: sent on as they come, they fill all places, and what comes
-after them is late as well, for eight seconds in place of two. So each entry has few of
-them on their way to a first event, where a place is free. The others wait for their
-turn, as many as are likely to get one in time; the rest is told at once to come back.
+"""Limit on the late requests that an entry sends to engines, and that it queues.
+
+A late request earns a fraction of one in time. At an engine it takes a slot for
+seconds, and reading its prompt delays all other requests there. After an outage, all
+requests that it made late arrive at once: sent on as they arrive, they take all slots,
+and the requests that follow are late too, for eight seconds instead of two. Therefore
+each entry sends only a few late requests that wait for their first event, and only to
+free slots. The others wait in a queue that holds as many as will probably be sent in
+time; the rest are refused immediately, so that their callers can retry later.
 """
 
 from __future__ import annotations
@@ -17,65 +18,65 @@
 
 __all__ = ["LateLane"]
 
-# Turns are counted over about so long (seconds).
-COUNTED_SECONDS = 1.5
-# So many wait also while nobody has had a turn yet.
-LEAST_WAITING = 1
+# Time constant over which the rate of sent late requests is measured.
+RATE_WINDOW_SECONDS = 1.5
+# Queue capacity while no late request has been sent yet.
+MIN_QUEUE_LENGTH = 1
 
 
 @define
 class LateLane:
-    """Late requests of one entry: those that engines have not begun, and the line."""
+    """Late requests of one entry: sent but not started by an engine, and queued."""
 
-    _unbegun: set[Hashable] = field(factory=set)
-    _line: set[Hashable] = field(factory=set)
-    _turns: float = 0.0
+    _unstarted: set[Hashable] = field(factory=set)
+    _queue: set[Hashable] = field(factory=set)
+    _sent: float = 0.0
     _counted_at: float = 0.0
 
     def has_room(self, engines: int, entries: int) -> bool:
-        """Whether one more may be sent.
+        """Whether one more late request may be sent.
 
         Parameters
         ----------
         engines, entries : int
-            Engines that may serve it, and entries that send to them.
+            Number of engines that may serve it, and of entries that send to them.
         """
-        return len(self._unbegun) < max(1, engines // max(entries, 1))
+        return len(self._unstarted) < max(1, engines // max(entries, 1))
 
     def may_wait(self, request: Hashable, seconds: float, now: float) -> bool:
-        """Whether a request may stand in the line; it does from then on, if so.
+        """Whether a request may wait in the queue; adds it to the queue if so.
 
         Parameters
         ----------
         seconds : float
-            For how long it could wait for its turn.
+            How long it can wait before it is sent.
         """
-        if request in self._line:
+        if request in self._queue:
             return True
-        self._fade(now)
-        likely = int(self._turns / COUNTED_SECONDS * seconds)
-        if len(self._line) >= LEAST_WAITING + likely:
+        self._decay(now)
+        expected = int(self._sent / RATE_WINDOW_SECONDS * seconds)
+        if len(self._queue) >= MIN_QUEUE_LENGTH + expected:
             return False
-        self._line.add(request)
+        self._queue.add(request)
         return True
 
     def sent(self, request: Hashable, now: float) -> None:
-        """Note that a late request is sent."""
-        self._line.discard(request)
-        self._unbegun.add(request)
-        self._fade(now)
-        self._turns += 1
+        """Record that a late request is sent."""
+        self._queue.discard(request)
+        self._unstarted.add(request)
+        self._decay(now)
+        self._sent += 1
 
     def begun(self, request: Hashable) -> None:
-        """Note that the first event has come, also while another turn is waited for."""
-        self._line.discard(request)
-        self._unbegun.discard(request)
+        """Record that the first event was received, even if the request is queued."""
+        self._queue.discard(request)
+        self._unstarted.discard(request)
 
     def ended(self, request: Hashable) -> None:
-        """Note that a request has ended, wherever it was."""
-        self._line.discard(request)
-        self._unbegun.discard(request)
+        """Record that a request has ended, whether it was queued or sent."""
+        self._queue.discard(request)
+        self._unstarted.discard(request)
 
-    def _fade(self, now: float) -> None:
-        self._turns *= exp((self._counted_at - now) / COUNTED_SECONDS)
+    def _decay(self, now: float) -> None:
+        self._sent *= exp((self._counted_at - now) / RATE_WINDOW_SECONDS)
         self._counted_at = now
--- a/packages/wasabideck_policy/wasabideck_policy/outcomes.py
+++ b/packages/wasabideck_policy/wasabideck_policy/outcomes.py
@@ -1,4 +1,4 @@
-"""Tagged outcomes of a request, and the base of every typed failure."""
+"""Outcome types of a request, and the base class of all exceptions."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class WasabideckError(Exception):
-    """Base of every failure of the system; its class names the kind.
+    """Base class of all exceptions of the system; the class is the kind of failure.
 
     Attributes
     ----------
     retry_after : float
-        Seconds after which a later try can help; 0 when it cannot.
+        Seconds after which a retry can succeed; 0 if it cannot.
     """
 
     status = 500
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a request has no answer: the kind, and one line for a person."""
+    """Why a request has no response: the kind, and one line of text for people."""
 
     kind: str
     detail: str = ""
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The whole answer was given."""
+    """The complete response was delivered."""
 
     replayed: bool = False
 
@@ -42,9 +42,10 @@
     Attributes
     ----------
     retry_after : float
-        Seconds after which a later try can help; 0 when it cannot.
+        Seconds after which a retry can succeed; 0 if it cannot.
     settled : bool
-        Whether no other try of the same key ran either: its claim was held.
+        Whether no other attempt with the same key ran either, because this attempt
+        held its claim.
     """
 
     failure: Failure
@@ -54,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Nobody can say whether the request ran.
+    """It cannot be determined whether the request ran.
 
     Attributes
     ----------
     crash : str
-        Name of the crash, when the backend server died with the request on it.
+        Name of the crash, if the backend server crashed while it ran the request.
     """
 
     failure: Failure
--- a/packages/wasabideck_policy/wasabideck_policy/outliers.py
+++ b/packages/wasabideck_policy/wasabideck_policy/outliers.py
@@ -1,4 +1,4 @@
-"""Servers that fail are left out for a while, and come back."""
+"""Outlier ejection: failing servers are excluded for a while and then used again."""
 
 from __future__ import annotations
 
@@ -8,67 +8,72 @@
 
 __all__ = ["Outliers"]
 
-FAILURES = 3
-FIRST_SECONDS = 1.0
-MOST_SECONDS = 30.0
-# With more than this share of a service left out, the fault is no server's own, and
-# what is left would only be crushed.
-MOST_SHARE = 0.5
+FAILURES_PER_EJECTION = 3
+FIRST_EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 30.0
+# If more than this fraction of a service is ejected, the fault is not with the servers,
+# and the remaining ones would only be overloaded.
+MAX_EJECTED_RATIO = 0.5
 
 
 @define
 class _Record:
     failures: int = 0
-    times: int = 0
-    until: float = 0.0
+    ejections: int = 0
+    ejected_until: float = 0.0
 
 
 @define
 class Outliers:
-    """Failures in a row by VM, and until when it is left out."""
+    """Consecutive failures by VM, and until when a VM is ejected."""
 
     _records: dict[str, _Record] = field(factory=dict)
 
     def succeeded(self, vm: str) -> None:
-        """Note a success: the VM is sound, also if it was left out."""
+        """Record a success: the VM is healthy, even if it was ejected."""
         self._records.pop(vm, None)
 
     def failed(self, vm: str, now: float) -> None:
-        """Note a failure; each third in a row leaves the VM out for longer."""
+        """Record a failure; each third in a row ejects the VM, each time for longer."""
         record = self._records.setdefault(vm, _Record())
         record.failures += 1
-        if record.failures % FAILURES == 0:
-            _leave_out(record, now)
+        if record.failures % FAILURES_PER_EJECTION == 0:
+            _eject(record, now)
 
     def lost(self, vm: str, now: float) -> None:
-        """Leave a VM out at once: no connection to it came about.
+        """Eject a VM immediately, because a connection to it could not be opened.
 
-        Each request that tried it again would wait out the same time before it goes
-        elsewhere; a dark server cost every second one of an entry 0.3 s.
+        Each request that tries the VM again would wait for the same timeout before it
+        is sent elsewhere. One unreachable server delayed every second request of an
+        entry by 0.3 s.
         """
         record = self._records.setdefault(vm, _Record())
-        # Requests that were under way to it at the same time tell the same.
-        if now >= record.until:
-            _leave_out(record, now)
+        # Concurrent requests to the VM fail for the same reason and count only once.
+        if now >= record.ejected_until:
+            _eject(record, now)
 
     def out(self, vm: str, now: float) -> bool:
-        """Whether a VM is left out now."""
+        """Whether a VM is ejected now."""
         record = self._records.get(vm)
-        return record is not None and now < record.until
+        return record is not None and now < record.ejected_until
 
     def any_out(self, now: float) -> bool:
-        """Whether any VM is left out now."""
-        return any(now < record.until for record in self._records.values())
+        """Whether any VM is ejected now."""
+        return any(now < record.ejected_until for record in self._records.values())
 
     def sound(self, vms: Iterable[str], now: float) -> set[str]:
-        """VMs that may be used; all of them when too many would be left out."""
+        """Return the VMs that may be used: all of them if too many are ejected."""
         known = set(vms)
-        left = {vm for vm in known if not self.out(vm, now)}
-        return left if len(left) >= len(known) * (1 - MOST_SHARE) else known
-
-
-def _leave_out(record: _Record, now: float) -> None:
-    record.until = now + min(MOST_SECONDS, FIRST_SECONDS * 2**record.times)
-    record.times += 1
-    # One failure after its return is enough to leave it out again.
-    record.failures = FAILURES - 1
+        healthy = {vm for vm in known if not self.out(vm, now)}
+        return (
+            healthy if len(healthy) >= len(known) * (1 - MAX_EJECTED_RATIO) else known
+        )
+
+
+def _eject(record: _Record, now: float) -> None:
+    record.ejected_until = now + min(
+        MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**record.ejections
+    )
+    record.ejections += 1
+    # After the ejection, a single failure ejects the VM again.
+    record.failures = FAILURES_PER_EJECTION - 1
--- a/packages/wasabideck_policy/wasabideck_policy/placement.py
+++ b/packages/wasabideck_policy/wasabideck_policy/placement.py
@@ -1,4 +1,4 @@
-"""Which server gets a request, how urgent it is there, and when none should."""
+"""Placement of requests: the server that gets a request, and its urgency there."""
 
 from __future__ import annotations
 
@@ -8,48 +8,55 @@
 
 from attrs import frozen
 
-from .backends import MOST_SILENT_PART, Backend
+from .backends import MAX_SILENT_RATIO, Backend
 from .engine_news import EngineNews, back_in
 
-__all__ = ["Demand", "Place", "Urgency", "choose", "choose_near", "pressure"]
+__all__ = ["Demand", "Place", "Urgency", "choose", "choose_near", "estimated_load"]
 
-# Servers compared for a request. Ten entries with reports some hundred ms old would
-# all pick the one best; a few drawn at random keep them apart.
+# Number of randomly drawn servers that are compared for a request. Ten entries whose
+# reports are some hundred milliseconds old would all choose the same best server;
+# comparing a random sample spreads their requests.
 DRAWN = 3
-# What a server told fades with this time constant, as its requests end (seconds).
+# Time constant (seconds) with which a reported load decays, since the requests that
+# it counted end.
 FADING_SECONDS = 2.0
-# A server in another region must have this part of its slots more free.
+# A server in another region is chosen only if the free fraction of its slots is
+# larger by this much.
 FAR_PART = 0.08
-# With this part of its slots taken, an engine has a place for a request at once.
-OPEN_PART = 0.9
-# With so much of its slots taken it is as good as full for what has to be in time: a
-# slot is free every 0.1 s, and a request that waits for two of them is late.
+# Below this utilisation an engine has a free slot for a request.
+FREE_SLOT_RATIO = 0.9
+# From this utilisation on, an engine counts as full for requests that must be in time:
+# a slot becomes free every 0.1 s, and a request that waits for two of them is late.
 EAGER_PART = 1.15
-# A prompt that is not read yet counts as so many requests more. An engine reads prompts
-# one after the other, 50 ms each, and writes nothing meanwhile: the first one to be
-# back after an outage is empty, got 17 requests in 0.3 s, and all of them were late.
+# Number of additional requests that a prompt counts for while it is unread. An engine
+# reads prompts one after the other, 50 ms each, and writes nothing meanwhile. The first
+# engine to return after an outage was empty, received 17 requests in 0.3 s, and all of
+# them were late.
 UNREAD_WEIGHT = 1.5
-# With so many waiting, as a part of its slots, one more would wait past the 2 to 2.5 s
-# after which callers leave: what is not sent ahead gets 1 to 2 places a second.
+# Queue length, as a fraction of the slots, from which an engine counts as full. One
+# more request would wait past the 2 to 2.5 s after which callers disconnect: requests
+# that are not sent ahead get only 1 to 2 slots a second.
 FULL_PART = 0.5
-# A plain service works a queue off in so many rounds of its slots before deadlines.
-PLAIN_QUEUE_PART = 3.0
-# Shortly before a version is over, a server that has it may only get what begins at
-# once: with this part of its slots taken there is no queue.
-IDLE_PART = 0.8
-# What one entry sent to a server since its agent last told counts as so many more for
-# each other entry, where so few servers are open that all send to the same ones: they
-# heard the same word. Where many are open, each draws others.
+# Queue length, as a multiple of the slots, that a plain service can process before the
+# deadlines of its requests.
+MAX_PLAIN_QUEUE_RATIO = 3.0
+# Shortly before a version expires, a server with that version may only get requests
+# that start immediately. Below this utilisation a server has no queue.
+MAX_IDLE_RATIO = 0.8
+# Requests that each other entry is assumed to have sent to a server for every request
+# that this entry sent since the agent's last report. Applies where so few servers have
+# capacity that all entries send to the same ones, as they received the same report.
+# With many available servers, the entries draw different ones.
 HERD_PART = 0.3
-# A server near by with less than this part of its slots taken is good enough: no other
-# one would begin the request sooner.
-AT_HAND_PART = 0.75
-# Servers near by that are looked at before all are (count).
-PROBED = 6
+# A local server below this utilisation is good enough: no other server would start the
+# request sooner.
+MAX_LOCAL_RATIO = 0.75
+# Maximum number of local servers that are checked before all servers are considered.
+LOCAL_PROBES = 6
 
 
 class Urgency:
-    """Classes of urgency at an engine, 0 is first and 9 last."""
+    """Urgency classes of an engine's queue; 0 is served first and 9 last."""
 
     FRESH = 3
     LATE = 8
@@ -57,40 +64,40 @@
 
 @frozen
 class Demand:
-    """What a request asks of a server.
+    """Requirements of a request on a server.
 
     Attributes
     ----------
     model : str
         The model that must be loaded; empty for plain services.
     layers : int
-        Layers of the model.
+        Number of layers of the model.
     least_version : int
-        Version of the weights that may run it at least; 0 for any.
-    soon_version : int
-        Version that will be the least one before a queue is worked off.
-    held_version : int
-        Version that will be the least one before whatever waits at a server is begun
-        or given up: an older one only serves beside an agent that knows of it, and
-        takes the older weights out in time.
+        Minimum version of the weights that may run it; 0 for any.
+    min_queued_version : int
+        Minimum version by the time a queue has been processed.
+    min_unattended_version : int
+        Minimum version by the time every request that waits at a server has started or
+        has been cancelled. A server with an older version is eligible only beside an
+        agent that knows this version, and that unloads the older weights in time.
     late : bool
-        Whether the goal cannot be kept any more.
+        Whether the latency goal can no longer be met.
     begun : bool
-        Whether its caller has a part of the answer already.
+        Whether its caller already has a part of the response.
     ahead : bool
-        Whether it is among those that are sent ahead of the others.
+        Whether it belongs to the share of requests that is sent ahead of the others.
     entries : int
-        Entries that choose among the same servers.
+        Number of entries that choose among the same servers.
     near_entries : int
-        Those of them in this entry's own data centre.
+        Number of those entries in this entry's own data centre.
     """
 
     data_centre: str
     model: str = ""
     layers: int = 0
     least_version: int = 0
-    soon_version: int = 0
-    held_version: int = 0
+    min_queued_version: int = 0
+    min_unattended_version: int = 0
     late: bool = False
     begun: bool = False
     ahead: bool = True
@@ -105,15 +112,15 @@
     Attributes
     ----------
     backend : Backend or None
-        The server, or None when there is none.
+        The chosen server, or None if there is none.
     urgency : int
-        The request's class of urgency there.
+        The request's urgency class at that server.
     free : bool
-        Whether it has a place for the request at once.
+        Whether the server has a free slot for the request.
     full : bool
-        Whether there are servers, all of them too full.
+        Whether there are eligible servers, but all of them are too full.
     back_in : float or None
-        Seconds until a server can run it, when that is known.
+        Seconds until a server can run the request; None if unknown.
     """
 
     backend: Backend | None
@@ -123,39 +130,42 @@
     back_in: float | None = None
 
 
-def pressure(backend: Backend, now: float, rivals: float = 0.0) -> float:
-    """Requests on a server as far as this process can tell.
+def estimated_load(
+    backend: Backend, now: float, competing_requests: float = 0.0
+) -> float:
+    """Return this process's estimate of the number of requests on a server.
 
-    All entries hear an agent's word at once. When most servers are full they all send
-    to the one that said it is not, 52 requests in 0.2 s where 36 had room; it refused
-    the rest, which had one try less, and what it took waited for seconds. So each takes
-    the others to do as it does itself until the agent tells again.
+    All entries receive an agent's report at the same time. When most servers are full,
+    all entries send to the one that reported capacity: 52 requests arrived in 0.2 s
+    where 36 had room. The server refused the rest, each of which lost one try, and
+    the accepted ones waited for seconds. Therefore each entry assumes that the other
+    entries send as it does itself, until the agent's next report.
 
     Parameters
     ----------
-    rivals : float
-        Requests that other entries send there for one of this entry.
+    competing_requests : float
+        Requests that other entries send there for each request of this entry.
     """
     age = max(0.0, now - backend.told_at)
-    others = backend.others + backend.sent_since * rivals
+    others = backend.others + backend.sent_since * competing_requests
     if others <= 0:
         return backend.in_progress
     return backend.in_progress + others * exp(-age / FADING_SECONDS)
 
 
-def _rivals(entries: int, opened: int) -> float:
-    """Requests that others send to a server for one of this entry.
+def _competing_requests(entries: int, available: int) -> float:
+    """Return how many requests others send to a server for each one of this entry.
 
-    Each entry draws a few of the servers that are open. With many open ones hardly
-    another one draws the same, with few all do.
+    Each entry draws a few of the available servers. With many available servers hardly
+    any other entry draws the same one; with few of them all entries do.
     """
-    return (entries - 1) * min(HERD_PART, DRAWN / max(opened, 1))
+    return (entries - 1) * min(HERD_PART, DRAWN / max(available, 1))
 
 
-def _opened(backends: Sequence[Backend]) -> int:
-    """How many servers have places by what they told."""
+def _count_available(backends: Sequence[Backend]) -> int:
+    """Return how many servers have free slots according to their reports."""
     return sum(
-        b.in_progress + b.others < b.listed.slots * OPEN_PART
+        b.in_progress + b.others < b.listed.slots * FREE_SLOT_RATIO
         and (b.news is None or b.news.serving)
         for b in backends
     )
@@ -168,152 +178,172 @@
     now: float,
     rng: random.Random,
 ) -> Place | None:
-    """A server near by that begins the request at once; None if none is at hand.
+    """Return a local server that starts the request immediately, or None.
 
-    Power of a few choices: at the target size a look at all servers for each request
-    takes longer than a token, and one that is far off, over links that all share, has
-    nothing that a free one near by has not.
+    This is the power of a few choices. In a deployment of the target size, checking all
+    servers for each request takes longer than generating a token, and a remote server,
+    behind links that all share, offers nothing that a free local one doesn't.
 
     Parameters
     ----------
     near : sequence of Backend
         Servers in the entry's own data centre.
     kept : sequence of Backend
-        Those of them that it has an idle connection to.
+        Servers among them to which the entry has an idle connection.
     """
-    rivals = _rivals(demand.near_entries, len(near))
-    drawn = rng.sample(kept, min(PROBED, len(kept)))
-    drawn += rng.sample(near, min(PROBED, len(near)))
+    competing = _competing_requests(demand.near_entries, len(near))
+    drawn = rng.sample(kept, min(LOCAL_PROBES, len(kept)))
+    drawn += rng.sample(near, min(LOCAL_PROBES, len(near)))
     found: list[Backend] = []
     for backend in drawn:
-        if backend in found or not _at_hand(backend, demand, now, rivals):
+        if backend in found or not _starts_at_once(backend, demand, now, competing):
             continue
         found.append(backend)
         if len(found) == DRAWN:
             break
     if not found:
         return None
-    best = min(found, key=lambda b: _price(b, demand, now, rivals))
-    return _placed(best, _taken(best, demand, now, rivals), demand)
+    best = min(found, key=lambda b: _cost(b, demand, now, competing))
+    return _place_at(best, _utilisation(best, demand, now, competing), demand)
 
 
-def _at_hand(backend: Backend, demand: Demand, now: float, rivals: float) -> bool:
+def _starts_at_once(
+    backend: Backend, demand: Demand, now: float, competing: float
+) -> bool:
     if backend.full_until > now or backend.silent(now):
         return False
-    if not _able(backend, demand, now, rivals):
+    if not _is_eligible(backend, demand, now, competing):
         return False
-    return _taken(backend, demand, now, rivals) < AT_HAND_PART
+    return _utilisation(backend, demand, now, competing) < MAX_LOCAL_RATIO
 
 
 def choose(
     backends: Sequence[Backend], demand: Demand, now: float, rng: random.Random
 ) -> Place:
-    """The least pressed of a few servers that can run the request."""
-    rivals = _rivals(demand.entries, _opened(backends))
-    able = [b for b in backends if _able(b, demand, now, rivals)]
-    if not able:
-        return Place(None, back_in=_back_in(backends, demand, now))
-    able = _talking(_known(able, demand), now)
+    """Return the least loaded of a few random servers that can run the request."""
+    competing = _competing_requests(demand.entries, _count_available(backends))
+    eligible = [b for b in backends if _is_eligible(b, demand, now, competing)]
+    if not eligible:
+        return Place(None, back_in=_seconds_until_ready(backends, demand, now))
+    eligible = _without_unresponsive(_without_unreported(eligible, demand), now)
     free = [
-        b for b in able if b.full_until <= now and not _full(b, demand, now, rivals)
+        b
+        for b in eligible
+        if b.full_until <= now and not _is_full(b, demand, now, competing)
     ]
     if not free:
         return Place(None, full=True)
 
-    def price(backend: Backend) -> float:
-        return _price(backend, demand, now, rivals)
+    def cost(backend: Backend) -> float:
+        return _cost(backend, demand, now, competing)
 
-    best = min(rng.sample(free, min(DRAWN, len(free))), key=price)
-    if demand.model and _taken(best, demand, now, rivals) >= OPEN_PART:
-        # Another of the free ones may have a place at once.
-        best = min(free, key=price)
-    return _placed(best, _taken(best, demand, now, rivals), demand)
+    best = min(rng.sample(free, min(DRAWN, len(free))), key=cost)
+    if demand.model and _utilisation(best, demand, now, competing) >= FREE_SLOT_RATIO:
+        # None of the drawn servers has a free slot, but another one may have.
+        best = min(free, key=cost)
+    return _place_at(best, _utilisation(best, demand, now, competing), demand)
 
 
-def _placed(backend: Backend, taken: float, demand: Demand) -> Place:
-    """The place of a request on a server with a part of its slots taken."""
-    opened = taken < OPEN_PART
-    in_time = taken < EAGER_PART and (demand.ahead or opened) and not demand.late
+def _place_at(backend: Backend, utilisation: float, demand: Demand) -> Place:
+    """Return the place of a request on a server with this utilisation."""
+    has_slot = utilisation < FREE_SLOT_RATIO
+    in_time = (
+        utilisation < EAGER_PART and (demand.ahead or has_slot) and not demand.late
+    )
     urgent = demand.begun or in_time
-    return Place(backend, Urgency.FRESH if urgent else Urgency.LATE, free=opened)
+    return Place(backend, Urgency.FRESH if urgent else Urgency.LATE, free=has_slot)
 
 
-def _able(backend: Backend, demand: Demand, now: float, rivals: float) -> bool:
+def _is_eligible(
+    backend: Backend, demand: Demand, now: float, competing: float
+) -> bool:
     if not demand.model:
         return True
-    news = backend.fresh_news(now)
-    if news is not None and not news.serving:
+    report = backend.fresh_news(now)
+    if report is not None and not report.serving:
         return False
-    held = backend.holds(demand.model, demand.layers, now)
-    if held <= 0 or held < demand.least_version:
+    version = backend.holds(demand.model, demand.layers, now)
+    if version <= 0 or version < demand.least_version:
         return False
-    if held < demand.held_version and not _attended(news, demand):
+    if version < demand.min_unattended_version and not _agent_knows(report, demand):
         return False
-    if held >= demand.soon_version:
+    if version >= demand.min_queued_version:
         return True
-    return pressure(backend, now, rivals) < backend.listed.slots * IDLE_PART
+    return (
+        estimated_load(backend, now, competing) < backend.listed.slots * MAX_IDLE_RATIO
+    )
 
 
-def _attended(news: EngineNews | None, demand: Demand) -> bool:
-    """Whether an agent beside the server knows how long its weights may be begun."""
-    return news is not None and news.named >= demand.held_version
+def _agent_knows(report: EngineNews | None, demand: Demand) -> bool:
+    """Whether the server's agent knows until when its weights may start requests."""
+    return report is not None and report.named >= demand.min_unattended_version
 
 
-def _known(able: list[Backend], demand: Demand) -> list[Backend]:
-    """Without servers far off whose agents never told this entry of them.
+def _without_unreported(eligible: list[Backend], demand: Demand) -> list[Backend]:
+    """Filter out remote servers whose agents never reported to this entry.
 
-    An agent tells a few of the entries far off. What this one sees of other servers is
-    its own requests only, so that they would always look the least pressed.
+    An agent reports only to a few of the remote entries. Of other remote servers this
+    entry knows only its own requests, so they would always seem to be the least loaded.
+    If no other server is eligible, all of them are returned.
     """
     if not demand.model:
-        return able
-    known = [
+        return eligible
+    reported = [
         b
-        for b in able
+        for b in eligible
         if b.news is not None or b.listed.data_centre == demand.data_centre
     ]
-    return known or able
+    return reported or eligible
 
 
-def _talking(able: list[Backend], now: float) -> list[Backend]:
-    """Those that are not silent; all of them when most are, or the rest is crushed.
+def _without_unresponsive(eligible: list[Backend], now: float) -> list[Backend]:
+    """Filter out unresponsive servers, unless most of them are unresponsive.
 
-    A server whose VM stands still, or is cut off, ends nothing and tells nothing: what
-    it told of its load fades, requests are taken off it one by one as callers give up,
-    and it soon looks the least pressed of all. It would draw most of what comes, and
-    each request would wait there in vain for most of its caller's patience.
+    In that case the remaining servers would be overloaded, and all are returned.
+
+    A server whose VM is suspended or disconnected ends no requests and sends no
+    reports. Its last reported load decays, requests are taken off it one by one as
+    callers cancel them, and it soon seems to be the least loaded server. It would
+    attract most new requests, and each would wait in vain for most of its caller's
+    timeout.
     """
-    talking = [b for b in able if not b.silent(now)]
-    return talking if len(talking) >= len(able) * (1 - MOST_SILENT_PART) else able
+    rest = [b for b in eligible if not b.silent(now)]
+    return rest if len(rest) >= len(eligible) * (1 - MAX_SILENT_RATIO) else eligible
 
 
-def _back_in(backends: Sequence[Backend], demand: Demand, now: float) -> float | None:
-    told = ((b.fresh_news(now), now - b.news_at) for b in backends)
-    known = [(news, age) for news, age in told if news is not None]
-    # Nothing may wait for a server whose weights are soon over, also if it serves.
-    newer = max(demand.least_version, demand.soon_version)
-    return back_in(known, newer) if demand.model else None
+def _seconds_until_ready(
+    backends: Sequence[Backend], demand: Demand, now: float
+) -> float | None:
+    reports = ((b.fresh_news(now), now - b.news_at) for b in backends)
+    recent = [(report, age) for report, age in reports if report is not None]
+    # No request may wait for a server whose weights expire soon, even if it serves.
+    newer = max(demand.least_version, demand.min_queued_version)
+    return back_in(recent, newer) if demand.model else None
 
 
-def _full(backend: Backend, demand: Demand, now: float, rivals: float) -> bool:
+def _is_full(backend: Backend, demand: Demand, now: float, competing: float) -> bool:
     slots = backend.listed.slots
-    part = FULL_PART if demand.model else PLAIN_QUEUE_PART
-    return slots > 0 and pressure(backend, now, rivals) >= slots * (1 + part)
+    queue_ratio = FULL_PART if demand.model else MAX_PLAIN_QUEUE_RATIO
+    return slots > 0 and estimated_load(backend, now, competing) >= slots * (
+        1 + queue_ratio
+    )
 
 
-def _taken(backend: Backend, demand: Demand, now: float, rivals: float) -> float:
-    """Part of its slots that is taken, prompts that it has to read first included."""
-    taken = pressure(backend, now, rivals)
+def _utilisation(
+    backend: Backend, demand: Demand, now: float, competing: float
+) -> float:
+    """Return the load in relation to the slots; unread prompts count as more."""
+    load = estimated_load(backend, now, competing)
     if demand.model:
-        taken += UNREAD_WEIGHT * len(backend.unread) * (1 + rivals)
-    return taken / max(backend.listed.slots, 1)
+        load += UNREAD_WEIGHT * len(backend.unread) * (1 + competing)
+    return load / max(backend.listed.slots, 1)
 
 
-def _price(backend: Backend, demand: Demand, now: float, rivals: float) -> float:
-    price = _taken(backend, demand, now, rivals)
-    news = backend.fresh_news(now)
-    if news is not None:
-        price *= max(1.0, news.pace)
+def _cost(backend: Backend, demand: Demand, now: float, competing: float) -> float:
+    cost = _utilisation(backend, demand, now, competing)
+    report = backend.fresh_news(now)
+    if report is not None:
+        cost *= max(1.0, report.pace)
     if backend.listed.cold_seconds > 0:
-        price += FAR_PART
-    return price + (FAR_PART if backend.listed.data_centre != demand.data_centre else 0)
+        cost += FAR_PART
+    return cost + (FAR_PART if backend.listed.data_centre != demand.data_centre else 0)
--- a/packages/wasabideck_policy/wasabideck_policy/quarantine.py
+++ b/packages/wasabideck_policy/wasabideck_policy/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash the servers that run them."""
+"""Quarantine of requests that crash the servers that run them."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 def fingerprint(organisation: str, service: str, route: str, body: bytes) -> str:
-    """Name of a request by its content, the same through every entry."""
+    """Return the fingerprint of a request's content, the same at every entry."""
     parts = (organisation.encode(), service.encode(), route.encode(), body)
     return hashlib.sha256(b"\0".join(parts)).hexdigest()[:24]
 
 
 @define
 class Quarantine:
-    """Crashes by fingerprint; merging is a union, so gossip may repeat."""
+    """Crashes by fingerprint; merging is a union, so gossip may repeat them."""
 
     crashes: dict[str, dict[str, float]] = field(factory=dict)
 
     def record(self, name: str, crash: str, now: float) -> None:
-        """Note that a request was in progress at a crash (``VM/process/count``)."""
-        self._keep(name, crash, now + KEEP_SECONDS)
+        """Record that a request was in progress at a crash (``VM/process/count``)."""
+        self._extend(name, crash, now + KEEP_SECONDS)
 
     def take(self, name: str, crash: str, until: float, now: float) -> None:
-        """Take in a crash that another process tells of, until a wall time."""
-        # A sender whose clock runs ahead must not bar a request for longer.
-        self._keep(name, crash, min(until, now + KEEP_SECONDS))
+        """Merge a crash reported by another process, until a wall time."""
+        # A sender whose clock is ahead must not quarantine a request for longer.
+        self._extend(name, crash, min(until, now + KEEP_SECONDS))
 
     def recent(self, now: float) -> dict[str, dict[str, float]]:
-        """Crashes that still count, by fingerprint; drops the others."""
+        """Return the crashes that still count, by fingerprint; deletes the others."""
         kept = {
             name: {crash: until for crash, until in crashes.items() if until > now}
             for name, crashes in self.crashes.items()
@@ -43,22 +43,22 @@
         return self.crashes
 
     def servers(self, name: str, now: float) -> set[str]:
-        """VMs that crashed under the request."""
+        """Return the VMs that crashed while the request was in progress."""
         crashes = self.crashes.get(name, {})
         return {crash.partition("/")[0] for crash, t in crashes.items() if t > now}
 
     def count(self, name: str, now: float) -> int:
-        """Crashes seen and not yet forgotten."""
+        """Return the number of the request's crashes that still count."""
         return sum(1 for until in self.crashes.get(name, {}).values() if until > now)
 
     def refused(self, name: str, now: float) -> bool:
-        """Whether the request is to be refused for good."""
+        """Whether the request is quarantined: it must be refused, and not retried."""
         return self.count(name, now) >= MOST_CRASHES
 
     def alone(self, name: str, now: float) -> bool:
-        """Whether the request may only run beside nothing else."""
+        """Whether the request may run only on a server without other requests."""
         return self.count(name, now) == 1
 
-    def _keep(self, name: str, crash: str, until: float) -> None:
+    def _extend(self, name: str, crash: str, until: float) -> None:
         crashes = self.crashes.setdefault(name, {})
         crashes[crash] = max(crashes.get(crash, 0.0), until)
--- a/packages/wasabideck_policy/wasabideck_policy/rendezvous.py
+++ b/packages/wasabideck_policy/wasabideck_policy/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous ranks: all who know the same VMs agree without talking."""
+"""Rendezvous hashing: all who know the same VMs agree without communication."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def score(item: str) -> Callable[[str], int]:
-    """A VM's score for an item, as a function of its name; the largest is first."""
+    """Return a function from a VM's name to its score; the highest score is first."""
     return lambda vm: xxhash.xxh64_intdigest(f"{item}|{vm}".encode())
 
 
 def rank(item: str, vms: Iterable[str]) -> list[str]:
-    """VMs in rendezvous order for an item."""
+    """Return the VMs in rendezvous order for an item."""
     return sorted(vms, key=score(item), reverse=True)
--- a/packages/wasabideck_policy/wasabideck_policy/retry.py
+++ b/packages/wasabideck_policy/wasabideck_policy/retry.py
@@ -1,4 +1,4 @@
-"""A budget of retries, so that an outage causes no retry storm."""
+"""Retry budget, which prevents an outage from causing a retry storm."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 __all__ = ["RetryBudget", "costs_nothing", "may_retry"]
 
-# Refusals that another server would repeat, or that the caller itself asked for.
-_FINAL = frozenset(
+# Refusals that another server would repeat, or that the caller itself caused.
+_NOT_RETRIED = frozenset(
     {"Cancelled", "DeadlinePassed", "KeyReused", "Quarantined", SHARE_USED}
 )
-# Refusals that put no work on any server: a try after one cannot feed a storm.
-_FREE = frozenset(
+# Refusals that cost no server any work: a retry after one cannot feed a storm.
+_FREE_RETRY = frozenset(
     {
         "ArrivedLate",
         "Barred",
@@ -38,7 +38,7 @@
     ratio : float
         Retries earned by one request.
     most : float
-        Tokens kept at the most.
+        Maximum number of tokens.
     """
 
     ratio: float = 0.1
@@ -50,7 +50,7 @@
         self.tokens = min(self.most, self.tokens + self.ratio)
 
     def spend(self) -> bool:
-        """Whether one more retry may be made now."""
+        """Whether one more retry may be made now; spends a token if so."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -60,12 +60,12 @@
 def may_retry(outcome: Outcome, repeatable: bool) -> bool:
     """Whether another server may be tried after this outcome."""
     if isinstance(outcome, NotRun):
-        # A refusal without a hint of a later try came from the server itself.
+        # A refusal without a time for a retry came from the server itself.
         refused = outcome.failure.kind == "ServerRefused" and not outcome.retry_after
-        return outcome.failure.kind not in _FINAL and not refused
+        return outcome.failure.kind not in _NOT_RETRIED and not refused
     return isinstance(outcome, Unknown) and repeatable
 
 
 def costs_nothing(outcome: Outcome) -> bool:
-    """Whether a try after this outcome need not be paid from the budget."""
-    return isinstance(outcome, NotRun) and outcome.failure.kind in _FREE
+    """Whether a retry after this outcome is not charged to the budget."""
+    return isinstance(outcome, NotRun) and outcome.failure.kind in _FREE_RETRY
--- a/packages/wasabideck_policy/wasabideck_policy/routing.py
+++ b/packages/wasabideck_policy/wasabideck_policy/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the backend server for a request."""
+"""Load balancing policies: the choice of the backend server for a request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from attrs import define, field, frozen
 
-from .affinity import home
+from .affinity import home_server
 
 __all__ = [
     "POLICIES",
@@ -22,23 +22,23 @@
 
 Choice = Callable[[Sequence["Server"], "Ask", float, random.Random], "Server"]
 
-DRAWN = 2
-# What a prompt costs whose prefix is not cached, in seconds of waiting.
-MISS_SECONDS = 0.2
-# What a region's thin link to the others is worth, in seconds of waiting.
-REGION_SECONDS = 0.1
-# A report older than this says nothing about the present.
+DRAWN_SERVERS = 2
+# Cost of a prompt whose prefix is not cached, in seconds of waiting.
+CACHE_MISS_SECONDS = 0.2
+# Cost of using the narrow link to another region, in seconds of waiting.
+REMOTE_REGION_SECONDS = 0.1
+# Maximum age of a report; older ones are ignored.
 STALE_SECONDS = 10.0
 
 
 @frozen
 class Ask:
-    """What of a request matters for the choice.
+    """Properties of a request that matter for the choice.
 
     Attributes
     ----------
     prefix : str
-        Name of the prompt's prefix; empty where there is none.
+        Name of the prompt's prefix; empty if it has none.
     """
 
     prefix: str = ""
@@ -47,30 +47,30 @@
 
 @define(eq=False)
 class Server:
-    """What an entry knows of one backend server.
+    """State of one backend server, as known to an entry.
 
     Attributes
     ----------
     in_progress : int
-        Requests that this entry has on it now.
+        Requests of this entry on it now.
     reported : int
-        Requests of all entries on it, running or waiting, when it last told.
+        Requests of all entries on it, running or waiting, according to its last report.
     own_reported : int
-        Requests of this entry on it at that time.
+        Requests of this entry on it at the time of that report.
     heard_at : float
-        When it last told, seconds; 0 when it never did.
+        When its last report was received, seconds; 0 if it never reported.
     load : float
-        The engine's lagging report, 0 idle to 1 full.
+        Load that the engine reported, with a delay; 0 idle to 1 full.
     load_at : float
         When the report was made, seconds.
     incarnation : str
-        The agent process, as it named itself.
+        Identifier of the agent process, chosen by that process.
     clock_ahead : float
-        At most so far is the agent's clock ahead of this process's, seconds.
+        Upper bound of how far the agent's clock is ahead of this process's, seconds.
     service_time : float
-        Seconds that it takes for one request.
+        Duration of one request, seconds.
     prefixes : list of str
-        Prompt prefixes that it is said to hold.
+        Prompt prefixes that it probably has in its cache.
     """
 
     vm: str
@@ -93,12 +93,12 @@
     incarnation: str = ""
     clock_ahead: float = 0.0
 
-    def pressed_by(self, now: float) -> float:
-        """Requests on it now, as far as this entry can tell.
+    def estimated_load(self, now: float) -> float:
+        """Return this entry's estimate of the requests on the server now.
 
-        What other entries sent since the report is unknown; what this one sent and
-        got back since is not, and keeps a burst between two reports from going to
-        the one server that looked idle.
+        The requests that other entries sent since the report are unknown. Those that
+        this entry sent and completed since are known, and are counted so that a burst
+        between two reports isn't sent to the one server that reported to be idle.
         """
         if now - self.heard_at > STALE_SECONDS:
             return self.in_progress
@@ -107,49 +107,53 @@
 
 
 def expected_wait(server: Server, now: float) -> float:
-    """Seconds that one more request adds to and meets on a server."""
-    pressed = server.pressed_by(now) + 1
-    return pressed * server.service_time / max(server.capacity, 1)
+    """Return the expected wait of one more request on a server, itself included."""
+    load_with_request = server.estimated_load(now) + 1
+    return load_with_request * server.service_time / max(server.capacity, 1)
 
 
 def priced(
     servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
 ) -> Server:
-    """The cheapest of a few: two drawn from each side, and whoever has the prefix.
-
-    The price is in seconds: the wait expected there, reading the whole prompt where
-    its prefix is not cached, and the link to another region. So the load that a hot
-    prefix brings to its server is bounded: as soon as waiting there costs more than
-    reading the prompt elsewhere, requests go elsewhere.
+    """Return the cheapest of a few servers.
+
+    The candidates are two random servers of the entry's own region, two of the other
+    regions, and the servers that have the prompt's prefix in their cache or are its
+    home. The cost is in seconds: the expected wait at the server, the time to read the
+    whole prompt if its prefix is not cached, and the link to another region. This
+    bounds the load that a popular prefix brings to its server: once the wait there
+    costs more than reading the prompt elsewhere, requests are sent elsewhere.
     """
-    near = [s for s in servers if s.region == ask.region]
-    far = [s for s in servers if s.region != ask.region]
-    drawn = _draw(near, rng) + _draw(far, rng)
-    place = home(ask.prefix, servers) if ask.prefix else None
+    local = [s for s in servers if s.region == ask.region]
+    remote = [s for s in servers if s.region != ask.region]
+    drawn = _draw(local, rng) + _draw(remote, rng)
+    prefix_home = home_server(ask.prefix, servers) if ask.prefix else None
     if ask.prefix:
-        drawn += [s for s in servers if ask.prefix in s.prefixes or s is place]
+        drawn += [s for s in servers if ask.prefix in s.prefixes or s is prefix_home]
 
-    def price(server: Server) -> float:
-        cost = expected_wait(server, now)
+    def cost(server: Server) -> float:
+        seconds = expected_wait(server, now)
         if ask.prefix and ask.prefix not in server.prefixes:
-            # Its home is the one place where the prefix comes to be cached.
-            miss = MISS_SECONDS / 2 if server is place else MISS_SECONDS
-            # Reading a prompt also holds up everyone who waits there already.
-            cost += miss * (1 + max(0, server.pressed_by(now) - server.capacity))
-        return cost + (REGION_SECONDS if server.region != ask.region else 0.0)
+            # The prefix's home is the server that will cache the prefix.
+            miss = (
+                CACHE_MISS_SECONDS / 2 if server is prefix_home else CACHE_MISS_SECONDS
+            )
+            # Reading a prompt also delays all requests that already wait there.
+            seconds += miss * (1 + max(0, server.estimated_load(now) - server.capacity))
+        return seconds + (REMOTE_REGION_SECONDS if server.region != ask.region else 0.0)
 
-    return min(drawn, key=price)
+    return min(drawn, key=cost)
 
 
 def two_choices(
     servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
 ) -> Server:
-    """The one of two servers drawn at random on which the wait is shorter."""
+    """Return the one of two random servers with the shorter expected wait."""
     return min(_draw(servers, rng), key=lambda s: expected_wait(s, now))
 
 
 def round_robin() -> Choice:
-    """Each server in turn."""
+    """Return a policy that uses the servers in round-robin order."""
     turn = 0
 
     def choose(
@@ -165,30 +169,30 @@
 def uniform(
     servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
 ) -> Server:
-    """Any server, all alike."""
+    """Return a server drawn with uniform probability."""
     return rng.choice(servers)
 
 
 def least_loaded(
     servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
 ) -> Server:
-    """The server with the fewest own requests in progress."""
+    """Return the server with the fewest requests of this entry in progress."""
     return min(servers, key=lambda server: (server.in_progress, rng.random()))
 
 
 def reported_two_choices(
     servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
 ) -> Server:
-    """Two choices by the engine's own lagging report, with nothing corrected."""
+    """Return the better of two random servers by their own, delayed reports."""
 
-    def pressure(server: Server) -> float:
+    def load(server: Server) -> float:
         return server.in_progress / max(server.capacity, 1) + server.load
 
-    return min(_draw(servers, rng), key=pressure)
+    return min(_draw(servers, rng), key=load)
 
 
 def _draw(servers: Sequence[Server], rng: random.Random) -> list[Server]:
-    return rng.sample(servers, min(DRAWN, len(servers)))
+    return rng.sample(servers, min(DRAWN_SERVERS, len(servers)))
 
 
 POLICIES: dict[str, Callable[[], Choice]] = {
--- a/packages/wasabideck_policy/wasabideck_policy/subsets.py
+++ b/packages/wasabideck_policy/wasabideck_policy/subsets.py
@@ -1,4 +1,4 @@
-"""The servers that an entry uses, where there are too many for all to use all."""
+"""Subsetting: the servers that an entry uses if there are too many to use all."""
 
 from __future__ import annotations
 
@@ -8,58 +8,60 @@
 import xxhash
 from attrs import frozen
 
-__all__ = ["OTHER_REGION", "OWN_REGION", "Width", "poll_pause", "subset"]
+__all__ = ["OTHER_REGION", "OWN_REGION", "SubsetSize", "poll_pause", "subset"]
 
 
 @frozen
-class Width:
-    """How many servers of a service and region an entry uses.
+class SubsetSize:
+    """Number of servers of a service and region that an entry uses.
 
     Attributes
     ----------
-    least : int
-        Servers that it uses at the least, as long as there are so many.
-    coverage : int
-        Entries that use each server, at the least.
+    min_servers : int
+        Minimum number of servers that it uses, if there are that many.
+    min_entries : int
+        Minimum number of entries that use each server.
     """
 
-    least: int
-    coverage: int
+    min_servers: int
+    min_entries: int
 
 
-OWN_REGION = Width(least=12, coverage=3)
-# Only what spills goes to another region, and an entry there covers each server.
-OTHER_REGION = Width(least=4, coverage=1)
-# Words of status a second that an entry hears. Each costs it about half a millisecond
-# of processor time, and all control together may cost it ten in a second.
+OWN_REGION = SubsetSize(min_servers=12, min_entries=3)
+# Only requests that exceed the region's capacity go to another region, where at least
+# one entry uses each server.
+OTHER_REGION = SubsetSize(min_servers=4, min_entries=1)
+# Rate of status responses that an entry receives. Each costs it about half a
+# millisecond of processor time, and all control traffic together may cost it ten
+# milliseconds in a second.
 POLLS_PER_SECOND = 8.0
-SHORTEST_PAUSE = 0.25
+MIN_POLL_INTERVAL_SECONDS = 0.25
 
 
 def subset(
-    vm: str, entries: Sequence[str], servers: Sequence[str], width: Width
+    vm: str, entries: Sequence[str], servers: Sequence[str], subset_size: SubsetSize
 ) -> set[str]:
-    """Servers that an entry uses, out of those of one service and region.
+    """Return the servers that an entry uses, of those of one service and region.
 
-    Entries and servers stand on a ring in the order of their hashes; each entry
-    uses a window that begins at its own share of the ring. So every server is in
-    as many windows as any other, give or take one, and a VM that comes or goes
-    moves each window by a few places at the most.
+    Entries and servers are placed on a ring in the order of their hashes; each entry
+    uses a window that starts at its own share of the ring. Therefore every server is
+    in the same number of windows, give or take one, and a VM that is added or removed
+    moves each window by a few positions at most.
     """
-    share = width.coverage * len(servers) / max(1, len(entries))
-    size = max(width.least, math.ceil(share))
+    share = subset_size.min_entries * len(servers) / max(1, len(entries))
+    size = max(subset_size.min_servers, math.ceil(share))
     if size >= len(servers):
         return set(servers)
-    around = sorted(servers, key=_place)
-    peers = sorted({*entries, vm}, key=_place)
-    begin = peers.index(vm) * len(around) // len(peers)
-    return {around[(begin + i) % len(around)] for i in range(size)}
+    ring = sorted(servers, key=_ring_position)
+    ring_entries = sorted({*entries, vm}, key=_ring_position)
+    start = ring_entries.index(vm) * len(ring) // len(ring_entries)
+    return {ring[(start + i) % len(ring)] for i in range(size)}
 
 
 def poll_pause(servers: int) -> float:
-    """Seconds between two words of one of so many servers."""
-    return max(SHORTEST_PAUSE, servers / POLLS_PER_SECOND)
+    """Return the interval between two polls of one of this many servers, seconds."""
+    return max(MIN_POLL_INTERVAL_SECONDS, servers / POLLS_PER_SECOND)
 
 
-def _place(vm: str) -> tuple[int, str]:
+def _ring_position(vm: str) -> tuple[int, str]:
     return xxhash.xxh64_intdigest(vm.encode()), vm
--- a/tests/beliefs/test_late_lane.py
+++ b/tests/beliefs/test_late_lane.py
@@ -1,6 +1,6 @@
 """Late requests of one entry, how many engines have to begin, and how many wait."""
 
-from wasabideck_policy.late_lane import COUNTED_SECONDS, LateLane
+from wasabideck_policy.late_lane import RATE_WINDOW_SECONDS, LateLane
 
 
 def test_one_at_a_time_where_there_are_as_many_entries_as_engines():
@@ -57,7 +57,7 @@
     for n in range(10):
         lane.sent(n, 10.0 + n * 0.2)
         lane.begun(n)
-    assert waiting(lane, 12.0 + 4 * COUNTED_SECONDS) == 1
+    assert waiting(lane, 12.0 + 4 * RATE_WINDOW_SECONDS) == 1
 
 
 def test_who_stands_in_the_line_stays_until_it_ends():
--- a/tests/beliefs/test_placement.py
+++ b/tests/beliefs/test_placement.py
@@ -7,7 +7,7 @@
 from wasabideck_policy.engine_news import EngineNews
 from wasabideck_policy.placement import (
     FULL_PART,
-    PROBED,
+    LOCAL_PROBES,
     Demand,
     Urgency,
     choose,
@@ -51,7 +51,7 @@
     # A draft that is sent to a full server with the former version begins two seconds
     # later, when that version is over: it would be written by weights that no ticket
     # names any more.
-    demand = Demand("dc", "m", 16, soon_version=2)
+    demand = Demand("dc", "m", 16, min_queued_version=2)
     assert place([engine("a", 15)], demand).backend is None
     assert place([engine("a", 5)], demand).backend.server == "a"
 
@@ -60,7 +60,7 @@
     # The only server that serves has a queue, and weights that are soon over: nothing
     # more may wait there. It counted as back in no time, and each entry looked again
     # without a pause for up to 1.2 s, until all sent to the first one that seemed idle.
-    demand = Demand("dc", "m", 16, soon_version=2)
+    demand = Demand("dc", "m", 16, min_queued_version=2)
     found = place([engine("a", 15, ready_in=0.8)], demand)
     assert found.backend is None
     assert found.back_in == pytest.approx(0.8)
@@ -300,4 +300,4 @@
 
     near = Counting(engine(f"n-{n}", 3, slots=8) for n in range(1400))
     assert near_place(near) is not None
-    assert near.looks <= PROBED
+    assert near.looks <= LOCAL_PROBES
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -3,7 +3,7 @@
 import pytest
 from wasabideck_policy.admission import RESERVE_SECONDS, Gate, admit
 from wasabideck_policy.concurrency import AdaptiveLimit
-from wasabideck_policy.fair_queue import AGE_SECONDS, FairQueue, Waiting
+from wasabideck_policy.fair_queue import AGING_SECONDS, FairQueue, Waiting
 
 
 def waiting(organisation="org-1", priority=1, since=0.0, deadline=1e9):
@@ -13,7 +13,7 @@
 def order_of(queue, now=0.0):
     taken = []
     while first := queue.first(now):
-        queue.take(first, now)
+        queue.dequeue(first, now)
         taken.append(first)
     return taken
 
@@ -72,15 +72,15 @@
         queue.add(waiting(priority=1, since=now))
         queue.add(waiting(priority=1, since=now))
         first = queue.first(now)
-        queue.take(first, now)
+        queue.dequeue(first, now)
         if first is greeting:
             break
     assert first is greeting
-    assert now >= AGE_SECONDS
+    assert now >= AGING_SECONDS
 
 
 def test_no_age_lifts_a_greeting_into_the_class_of_disputes():
-    assert waiting(priority=2).level(1e6) == 1
+    assert waiting(priority=2).current_class(1e6) == 1
 
 
 def test_slots_stay_free_for_the_next_dispute(gate):
@@ -154,14 +154,14 @@
 
 
 def test_the_limit_grows_again_when_the_server_got_faster():
-    limit = AdaptiveLimit(limit=2, most=16, least_seconds=0.02, seconds=0.02)
+    limit = AdaptiveLimit(limit=2, most=16, min_seconds=0.02, seconds=0.02)
     for _ in range(500):
         limit.observe(0.02, limit.slots)
     assert limit.slots == 16
 
 
 def test_the_limit_falls_soon_when_requests_begin_to_queue_inside():
-    limit = AdaptiveLimit(limit=16, most=16, least_seconds=0.02, seconds=0.02)
+    limit = AdaptiveLimit(limit=16, most=16, min_seconds=0.02, seconds=0.02)
     for _ in range(100):
         running = limit.slots
         limit.observe(0.02 * max(1.0, running / 4), running)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from wasabideck_policy.affinity import DOUBT_SECONDS, CacheView, home
+from wasabideck_policy.affinity import GAP_EXPIRY_SECONDS, CacheView, home_server
 from wasabideck_policy.membership import AGENT, Member
 from wasabideck_policy.observation import KEEP_SECONDS, join
 from wasabideck_policy.outliers import Outliers
@@ -57,7 +57,7 @@
 def test_a_prefix_stays_at_its_server_until_that_is_full(rng):
     fleet = servers(6, service_time=0.6)
     ask = Ask("prefix", "here")
-    place = home("prefix", fleet)
+    place = home_server("prefix", fleet)
     assert priced(fleet, ask, NOW, rng) is place
     place.prefixes = ["prefix"]
     counts = spread(priced, fleet, ask, rng, 120)
@@ -67,7 +67,7 @@
 
 def test_a_prefix_is_sought_where_events_say_it_is(rng):
     fleet = servers(6)
-    holder = next(s for s in fleet if s is not home("prefix", fleet))
+    holder = next(s for s in fleet if s is not home_server("prefix", fleet))
     holder.prefixes = ["prefix"]
     assert priced(fleet, Ask("prefix", "here"), NOW, rng) is holder
 
@@ -92,7 +92,7 @@
     view.apply([(1, "a", True), (2, "b", True)], NOW)
     view.apply([(4, "c", True)], NOW + 1)
     assert view.held(NOW + 1) == ["a", "b", "c"]
-    assert view.held(NOW + 2 + DOUBT_SECONDS) == ["c"]
+    assert view.held(NOW + 2 + GAP_EXPIRY_SECONDS) == ["c"]
 
 
 def test_late_cache_events_do_not_bring_a_prefix_back():
@@ -121,7 +121,7 @@
         after = subset(name, names, [*fleet, "server-new"], OWN_REGION)
         moved += len(after - before)
     assert moved / len(names[::20]) <= 1.0
-    assert len(subset("entry-7", names, fleet, OWN_REGION)) == OWN_REGION.least
+    assert len(subset("entry-7", names, fleet, OWN_REGION)) == OWN_REGION.min_servers
 
 
 def test_asking_does_not_grow_with_the_fleet():
