--- a/packages/wasabideck_policy/wasabideck_policy/backends.py
+++ b/packages/wasabideck_policy/wasabideck_policy/backends.py
@@ -12,21 +12,21 @@
 
 # After an outage of the list, a server that is still running is listed again within
 # about two seconds. Until then, its removal from the list is ignored.
-RETURN_SECONDS = 2.0
+RELISTING_SECONDS = 2.0
 # An outage removes many servers from the list in one response. When more than this
 # fraction of a service is removed at once, the servers are kept for a while, as after
 # a known outage.
 MASS_REMOVAL_RATIO = 0.34
-MIN_MASS_REMOVAL = 3
+MIN_MASS_REMOVAL_SERVERS = 3
 # Without a known outage, the removed servers may as well have shut down together. They
 # are kept only as long as a server that shuts down may get requests, less the time
 # in which its removal is received.
-MASS_SECONDS = 1.2
+MASS_REMOVAL_HOLD_SECONDS = 1.2
 # A server that has requests of this process counts as unresponsive if neither a byte
 # nor a report of its agent was received for this time. An engine sends data at least
 # at each pass of its batch, 50 to 150 ms, and an agent reports four times a second, or
 # once a second to remote entries.
-QUIET_SECONDS = 0.7
+UNRESPONSIVE_SECONDS = 0.7
 # If more than this fraction of several servers is unresponsive, the cause is rather the
 # network to them, or this process itself.
 MAX_SILENT_RATIO = 0.5
@@ -34,7 +34,7 @@
 # Half of that time is enough when most servers of a data centre are unresponsive:
 # otherwise the first stream would be cancelled before the other servers count as
 # unresponsive too.
-NETWORK_QUIET_SECONDS = QUIET_SECONDS / 2
+NETWORK_UNRESPONSIVE_SECONDS = UNRESPONSIVE_SECONDS / 2
 
 
 @frozen
@@ -136,7 +136,7 @@
         self.in_progress += 1
         self.sent_since += 1
 
-    def silent(self, now: float, quiet: float = QUIET_SECONDS) -> bool:
+    def silent(self, now: float, quiet: float = UNRESPONSIVE_SECONDS) -> bool:
         """Whether it sent no data for too long while requests wait on it.
 
         A server without requests counts as responsive, so that one request at a time
@@ -200,8 +200,8 @@
     """
 
     _known: dict[str, Backend] = field(factory=dict)
-    outage_ended: float = -RETURN_SECONDS
-    mass_seconds: float = MASS_SECONDS
+    outage_ended: float = -RELISTING_SECONDS
+    mass_seconds: float = MASS_REMOVAL_HOLD_SECONDS
     _at: dict[str, Backend] = field(factory=dict)
     _of_service: dict[str, tuple[Backend, ...]] = field(factory=dict)
     _near: dict[tuple[str, str], tuple[Backend, ...]] = field(factory=dict)
@@ -249,7 +249,7 @@
             for b in self._known.values()
             if b.listed.data_centre == data_centre and b.in_progress > 0
         ]
-        silent = sum(b.silent(now, NETWORK_QUIET_SECONDS) for b in busy)
+        silent = sum(b.silent(now, NETWORK_UNRESPONSIVE_SECONDS) for b in busy)
         return (
             len(busy) >= MIN_SERVERS_FOR_NETWORK_FAULT
             and silent > len(busy) * MAX_SILENT_RATIO
@@ -297,7 +297,7 @@
         self._indexed = False
         since = now if since is None else since
         removed = [self._known[name] for name in servers if name in self._known]
-        held_until = self.outage_ended + RETURN_SECONDS
+        held_until = self.outage_ended + RELISTING_SECONDS
         if self._is_mass_removal(removed):
             held_until = max(held_until, since + self.mass_seconds)
         for backend in removed:
@@ -313,7 +313,7 @@
         sizes = _count_by_service(self._known.values())
         lost = _count_by_service(b for b in removed if not b.listed.leaving)
         return any(
-            n >= MIN_MASS_REMOVAL and n > MASS_REMOVAL_RATIO * sizes[name]
+            n >= MIN_MASS_REMOVAL_SERVERS and n > MASS_REMOVAL_RATIO * sizes[name]
             for name, n in lost.items()
         )
 
--- a/packages/wasabideck_policy/wasabideck_policy/placement.py
+++ b/packages/wasabideck_policy/wasabideck_policy/placement.py
@@ -42,7 +42,7 @@
 MAX_PLAIN_QUEUE_RATIO = 3.0
 # Shortly before a version expires, a server with that version may only get requests
 # that start immediately. Below this utilisation a server has no queue.
-MAX_IDLE_RATIO = 0.8
+NO_QUEUE_RATIO = 0.8
 # Requests that each other entry is assumed to have sent to a server for every request
 # that this entry sent since the agent's last report. Applies where so few servers have
 # capacity that all entries send to the same ones, as they received the same report.
@@ -51,7 +51,8 @@
 # A local server below this utilisation is good enough: no other server would start the
 # request sooner.
 MAX_LOCAL_RATIO = 0.75
-# Maximum number of local servers that are checked before all servers are considered.
+# Maximum number of local servers, and of those among them with an idle connection, that
+# are checked before all servers are considered.
 LOCAL_PROBES = 6
 
 
@@ -172,8 +173,8 @@
 
 
 def choose_near(
-    near: Sequence[Backend],
-    kept: Sequence[Backend],
+    local: Sequence[Backend],
+    connected: Sequence[Backend],
     demand: Demand,
     now: float,
     rng: random.Random,
@@ -186,14 +187,14 @@
 
     Parameters
     ----------
-    near : sequence of Backend
+    local : sequence of Backend
         Servers in the entry's own data centre.
-    kept : sequence of Backend
-        Servers among them to which the entry has an idle connection.
+    connected : sequence of Backend
+        Local servers to which the entry has an idle connection.
     """
-    competing = _competing_requests(demand.near_entries, len(near))
-    drawn = rng.sample(kept, min(LOCAL_PROBES, len(kept)))
-    drawn += rng.sample(near, min(LOCAL_PROBES, len(near)))
+    competing = _competing_requests(demand.near_entries, len(local))
+    drawn = rng.sample(connected, min(LOCAL_PROBES, len(connected)))
+    drawn += rng.sample(local, min(LOCAL_PROBES, len(local)))
     found: list[Backend] = []
     for backend in drawn:
         if backend in found or not _starts_at_once(backend, demand, now, competing):
@@ -270,7 +271,7 @@
     if version >= demand.min_queued_version:
         return True
     return (
-        estimated_load(backend, now, competing) < backend.listed.slots * MAX_IDLE_RATIO
+        estimated_load(backend, now, competing) < backend.listed.slots * NO_QUEUE_RATIO
     )
 
 
@@ -299,7 +300,7 @@
 def _without_unresponsive(eligible: list[Backend], now: float) -> list[Backend]:
     """Filter out unresponsive servers, unless most of them are unresponsive.
 
-    In that case the remaining servers would be overloaded, and all are returned.
+    Otherwise the few remaining servers would be overloaded.
 
     A server whose VM is suspended or disconnected ends no requests and sends no
     reports. Its last reported load decays, requests are taken off it one by one as
--- a/tests/beliefs/test_placement.py
+++ b/tests/beliefs/test_placement.py
@@ -1,4 +1,4 @@
-"""Which server gets a request, by load, urgency and weights."""
+"""Placement of requests by load, urgency and version of the weights."""
 
 import random
 
@@ -18,9 +18,9 @@
 DEMAND = Demand("dc", "m", 16)
 
 
-def engine(name, pressed, version=1, serving=True, ready_in=0.0, slots=16):
+def engine(name, load, version=1, serving=True, ready_in=0.0, slots=16):
     backend = Backend(Listed(name, "s", f"{name}:1", "dc", slots))
-    news = EngineNews(f"{name}:1", version, serving, pressed, 0, ready_in, 2)
+    news = EngineNews(f"{name}:1", version, serving, load, 0, ready_in, 2)
     backend.hear(news, NOW)
     return backend
 
@@ -29,58 +29,60 @@
     return choose(backends, demand, NOW, random.Random(seed))
 
 
-def test_the_less_pressed_of_the_drawn_is_taken():
+def test_the_less_loaded_of_the_drawn_servers_is_chosen():
     found = place([engine("a", 12), engine("b", 3)])
     assert found.backend.server == "b"
     assert found.urgency == Urgency.FRESH
 
 
-def test_a_server_that_swaps_gets_nothing_and_its_return_is_known():
+def test_a_swapping_server_gets_no_request_and_its_delay_is_returned():
     found = place([engine("a", 0, serving=False, ready_in=0.9)])
     assert found.backend is None
     assert found.back_in == pytest.approx(0.9)
 
 
-def test_weights_that_are_over_serve_nothing():
+def test_expired_weights_serve_no_request():
     demand = Demand("dc", "m", 16, least_version=2)
     found = place([engine("a", 0), engine("b", 15, version=2)], demand)
     assert found.backend.server == "b"
 
 
-def test_nothing_waits_in_the_queue_of_weights_that_are_soon_over():
-    # A draft that is sent to a full server with the former version begins two seconds
-    # later, when that version is over: it would be written by weights that no ticket
-    # names any more.
+def test_no_request_is_queued_for_weights_that_expire_soon():
+    # A draft sent to a full server with the previous version starts two seconds later,
+    # when that version has expired: it would be written by weights that no ticket
+    # declares any more.
     demand = Demand("dc", "m", 16, min_queued_version=2)
     assert place([engine("a", 15)], demand).backend is None
     assert place([engine("a", 5)], demand).backend.server == "a"
 
 
-def test_a_server_whose_weights_are_soon_over_is_not_waited_for_as_if_it_were_back():
-    # The only server that serves has a queue, and weights that are soon over: nothing
-    # more may wait there. It counted as back in no time, and each entry looked again
-    # without a pause for up to 1.2 s, until all sent to the first one that seemed idle.
+def test_a_queued_server_with_expiring_weights_does_not_count_as_ready():
+    # The only serving server has a queue, and weights that expire soon: no more
+    # requests may wait there. When it counted as ready immediately, each entry polled
+    # without a delay for up to 1.2 s, until all sent to the first server that seemed
+    # idle.
     demand = Demand("dc", "m", 16, min_queued_version=2)
     found = place([engine("a", 15, ready_in=0.8)], demand)
     assert found.backend is None
     assert found.back_in == pytest.approx(0.8)
 
 
-def test_one_that_is_not_sent_ahead_waits_behind_the_others():
+def test_a_request_that_is_not_sent_ahead_waits_behind_the_others():
     behind = Demand("dc", "m", 16, ahead=False)
     assert place([engine("a", 17)], behind).urgency == Urgency.LATE
     assert place([engine("a", 5)], behind).urgency == Urgency.FRESH
 
 
-def test_when_all_are_too_full_it_is_said_at_once():
+def test_a_choice_reports_that_all_servers_are_full():
     found = place([engine("a", 30), engine("b", 40)])
     assert found.backend is None
     assert found.full
 
 
-def test_an_answer_does_not_make_old_news_of_an_agent_fresh():
-    # An agent dies while its engine swaps. The engine loads and serves; what the agent
-    # said last, "no requests now", must not count as said just now with each answer.
+def test_a_response_does_not_renew_an_old_agent_report():
+    # An agent dies while its engine swaps, and the engine loads and serves. The agent's
+    # last report, "no requests now", must not be renewed by each response of the
+    # engine.
     backend = engine("a", 3, serving=False, ready_in=0.5)
     backend.versions["m"] = 1
     backend.news_at = NOW - 5.0
@@ -88,86 +90,95 @@
     assert place([backend]).backend is backend
 
 
-def waited_on(name, pressed, since):
-    """An engine that was sent a request and has told its weights before."""
-    backend = engine(name, pressed)
+def engine_with_request(name, load, since):
+    """An engine with one request, whose version was reported earlier."""
+    backend = engine(name, load)
     backend.versions["m"] = 1
     backend.begin(since)
     return backend
 
 
-def test_a_server_that_tells_nothing_is_passed_over_while_others_tell():
-    # A VM stands still with its engine for four seconds. What was known of its load
-    # faded and it looked the least pressed: each entry went on sending it drafts, and
-    # each of them waited there in vain for half of its caller's patience.
-    still, others = waited_on("a", 8, NOW), [engine("b", 14), engine("c", 14)]
+def test_an_unresponsive_server_is_avoided_while_others_respond():
+    # A VM is suspended with its engine for four seconds. Its last reported load decayed
+    # and it seemed to be the least loaded: each entry continued to send it drafts, and
+    # each draft waited there in vain for half of its caller's timeout.
+    suspended, others = (
+        engine_with_request("a", 8, NOW),
+        [engine("b", 14), engine("c", 14)],
+    )
     later = NOW + 2.0
     for backend in others:
         backend.hear(backend.news, later)
     for seed in range(20):
-        found = choose([still, *others], DEMAND, later, random.Random(seed))
-        assert found.backend is not still
+        found = choose([suspended, *others], DEMAND, later, random.Random(seed))
+        assert found.backend is not suspended
 
 
-def test_a_server_that_was_given_up_gets_one_request_at_a_time():
-    # Each time an entry had given up all that it had sent to a VM that stood still, it
-    # counted that VM's silence anew and sent it ten more drafts before it had passed.
-    still, other = waited_on("a", 8, NOW), engine("b", 14)
+def test_an_unresponsive_server_gets_one_request_at_a_time():
+    # Each time an entry had cancelled all its requests on a suspended VM, it measured
+    # the time without data from the start, and sent ten more drafts before the VM
+    # counted as unresponsive again.
+    suspended, other = engine_with_request("a", 8, NOW), engine("b", 14)
     later = NOW + 2.0
     other.hear(other.news, later)
-    still.in_progress = 0
-    assert choose([still, other], DEMAND, later, random.Random(1)).backend is still
-    still.begin(later)
-    assert choose([still, other], DEMAND, later, random.Random(1)).backend is other
+    suspended.in_progress = 0
+    assert (
+        choose([suspended, other], DEMAND, later, random.Random(1)).backend is suspended
+    )
+    suspended.begin(later)
+    assert choose([suspended, other], DEMAND, later, random.Random(1)).backend is other
 
 
 @pytest.mark.parametrize("sign", ["byte", "news", "none-due"])
-def test_a_server_that_tells_anything_is_not_passed_over(sign):
-    # An agent is killed, and its engine serves on; another engine's answers to one
-    # entry all wait in its queue, and only the agent tells; to a third server nothing
-    # was sent for a while, so that it had nothing to tell. None of them stands still.
+def test_a_server_that_sends_any_data_is_not_avoided(sign):
+    # An agent is killed, and its engine continues to serve. All requests of an entry
+    # wait in another engine's queue, and only the agent reports. A third server got no
+    # request for a while, so that it had no data to send. None of them is suspended.
     later = NOW + 2.0
-    lively = waited_on("a", 3, later - 0.05 if sign == "none-due" else NOW)
+    responsive = engine_with_request(
+        "a", 3, later - 0.05 if sign == "none-due" else NOW
+    )
     other = engine("b", 14)
     other.hear(other.news, later)
     if sign == "byte":
-        lively.heard_at = later - 0.1
+        responsive.heard_at = later - 0.1
     elif sign == "news":
-        lively.hear(lively.news, later - 0.1)
-    found = choose([lively, other], DEMAND, later, random.Random(1))
-    assert found.backend is lively
+        responsive.hear(responsive.news, later - 0.1)
+    found = choose([responsive, other], DEMAND, later, random.Random(1))
+    assert found.backend is responsive
 
 
-def test_servers_that_are_all_silent_are_used_as_before():
-    # An entry's own link stalls for a second: no server is heard, and none is at fault.
-    servers = [waited_on(name, 8, NOW) for name in "abc"]
+def test_servers_that_are_all_unresponsive_are_still_used():
+    # An entry's own link stalls for a second: no data is received from any server, and
+    # no server is at fault.
+    servers = [engine_with_request(name, 8, NOW) for name in "abc"]
     found = choose(servers, DEMAND, NOW + 2.0, random.Random(1))
     assert found.backend in servers
 
 
-def test_entries_that_heard_the_same_word_do_not_all_send_to_one_server():
-    # All servers but one were full. Its agent's word reached twenty entries at once,
-    # and each sent it draft after draft until the next word: half of them were refused
-    # there, and the others waited behind one another for seconds.
-    entries, free_places = 20, 12
-    open_one = Listed("open", "s", "open:1", "dc", 16)
+def test_entries_with_the_same_report_do_not_overload_one_server():
+    # All servers but one were full. Its agent's report reached twenty entries at once,
+    # and each sent it draft after draft until the next report: half of them were
+    # refused there, and the others queued for seconds.
+    entries, free_slots = 20, 12
+    available = Listed("open", "s", "open:1", "dc", 16)
     sent = 0
     for seed in range(entries):
-        mine = [Backend(open_one), *(engine(f"full-{n}", 40) for n in range(4))]
-        mine[0].hear(EngineNews("open:1", 1, True, 16 - free_places, 0), NOW)
+        mine = [Backend(available), *(engine(f"full-{n}", 40) for n in range(4))]
+        mine[0].hear(EngineNews("open:1", 1, True, 16 - free_slots, 0), NOW)
         demand = Demand("dc", "m", 16, entries=entries)
         rng = random.Random(seed)
         while (place := choose(mine, demand, NOW + 0.1, rng)).backend is not None:
             place.backend.begin(NOW + 0.1)
             sent += 1
-    # What an engine of 16 slots may have waiting comes on top.
-    room = free_places + 16 * FULL_PART
+    # An engine of 16 slots may have a queue in addition.
+    room = free_slots + 16 * FULL_PART
     assert sent <= 4 * room
 
 
-def test_an_agents_word_counts_what_others_sent():
-    # What an entry took others to have sent must not be added to what the agent says
-    # is there: a server with free places would look full for ever.
+def test_an_agent_report_replaces_the_assumed_requests_of_others():
+    # The requests that an entry assumes others to have sent must not be added to those
+    # that the agent reports: a server with free slots would seem full forever.
     backend = engine("a", 3)
     for _ in range(6):
         backend.begin(NOW)
@@ -177,9 +188,10 @@
     assert choose([backend], demand, NOW + 0.25, random.Random(1)).backend is backend
 
 
-def test_a_servers_own_word_counts_what_others_sent_when_its_agent_is_gone():
-    # An agent is killed and its engine serves on. Each request that an entry sent there
-    # stood for those of the others for ever, and the engine got no more.
+def test_a_load_in_a_response_replaces_assumed_requests_without_an_agent():
+    # An agent is killed and its engine continues to serve. For each request of an
+    # entry, the assumed requests of the others were counted forever, and the engine got
+    # no more.
     backend = engine("a", 3)
     backend.versions["m"] = 1
     later = NOW + 5.0
@@ -191,49 +203,49 @@
     assert choose([backend], demand, later + 12, random.Random(1)).backend is backend
 
 
-def test_a_server_with_prompts_to_read_is_as_if_fuller():
-    # The first engine to be back after an outage was empty, and all sent to it: it read
-    # 17 prompts one after the other, 50 ms each, before any of them was answered.
+def test_unread_prompts_count_as_additional_load():
+    # The first engine to return after an outage was empty, and all entries sent to it:
+    # it read 17 prompts one after the other, 50 ms each, before the first event of any.
     reading, writing = engine("reading", 4), engine("writing", 7)
     reading.unread = {"a", "b", "c"}
     place = choose([reading, writing], Demand("dc", "m", 16), NOW, random.Random(1))
     assert place.backend is writing
 
 
-def test_what_would_wait_for_two_slots_is_not_sent_ahead():
-    # Sent ahead to a server with seven waiting, each of them was late.
+def test_a_request_that_would_wait_for_two_slots_is_not_sent_ahead():
+    # Requests sent ahead to a server with seven waiting requests were all late.
     server = engine("full", 20)
     place = choose([server], Demand("dc", "m", 16, ahead=True), NOW, random.Random(1))
     assert place.urgency == Urgency.LATE
     assert not place.free
 
 
-def test_the_rest_of_a_begun_stream_goes_ahead_in_any_case():
+def test_the_rest_of_a_started_stream_is_always_sent_ahead():
     server = engine("full", 20)
     demand = Demand("dc", "m", 16, late=True, begun=True)
     assert choose([server], demand, NOW, random.Random(1)).urgency == Urgency.FRESH
 
 
-def far_engine(name, pressed):
+def remote_engine(name, load):
     backend = Backend(Listed(name, "s", f"{name}:1", "elsewhere", 16))
-    backend.hear(EngineNews(f"{name}:1", 1, True, pressed, 0, 0.0, 2), NOW)
+    backend.hear(EngineNews(f"{name}:1", 1, True, load, 0, 0.0, 2), NOW)
     return backend
 
 
-def test_a_server_far_off_that_never_told_is_not_taken_for_idle():
-    # An agent tells a part of the entries far off. To the others its server showed
-    # their own requests only: it looked idle while its engine was full.
-    untold = Backend(Listed("untold", "s", "untold:1", "elsewhere", 16))
-    untold.versions["m"] = 1
+def test_a_remote_server_without_a_report_does_not_count_as_idle():
+    # An agent reports only to some of the remote entries. The others knew only their
+    # own requests on its server: it seemed idle while its engine was full.
+    unreported = Backend(Listed("untold", "s", "untold:1", "elsewhere", 16))
+    unreported.versions["m"] = 1
     for seed in range(20):
-        assert place([engine("a", 14), untold], seed=seed).backend is not untold
-    # It is better than none.
-    assert place([untold]).backend is untold
+        assert place([engine("a", 14), unreported], seed=seed).backend is not unreported
+    # It is chosen if there is no other server.
+    assert place([unreported]).backend is unreported
 
 
-def test_with_many_open_servers_one_request_fills_none():
-    # Thirty-six entries and 136 servers: one request that had been sent to a server
-    # stood for eleven of the other entries, and made it full for this one.
+def test_with_many_available_servers_one_request_fills_none():
+    # With 36 entries and 136 servers, one request sent to a server was counted as
+    # eleven requests of the other entries, and made the server seem full to this one.
     servers = [engine(f"s-{n}", 2, slots=8) for n in range(136)]
     for server in servers:
         server.begin(NOW)
@@ -242,8 +254,8 @@
     assert found.urgency == Urgency.FRESH
 
 
-def test_with_one_open_server_each_entry_sends_it_little():
-    # All other servers are full, and 36 entries hear at once that one has a place.
+def test_with_one_available_server_each_entry_sends_few_requests():
+    # All other servers are full, and 36 entries learn at once that one has free slots.
     full = [engine(f"s-{n}", 12, slots=8) for n in range(9)]
     servers = [engine("open", 4, slots=8), *full]
     demand, sent = Demand("dc", "m", 16, entries=36), 0
@@ -253,51 +265,51 @@
     assert sent == 1
 
 
-NEAR = Demand("dc", "m", 16, entries=36, near_entries=7)
+LOCAL_DEMAND = Demand("dc", "m", 16, entries=36, near_entries=7)
 
 
-def near_place(near, kept=(), demand=NEAR, seed=1):
-    return choose_near(near, kept, demand, NOW, random.Random(seed))
+def local_place(local, connected=(), demand=LOCAL_DEMAND, seed=1):
+    return choose_near(local, connected, demand, NOW, random.Random(seed))
 
 
-def test_a_server_with_an_open_connection_is_taken_where_it_has_a_place():
-    # Each entry met each of 136 servers every seven seconds: three in four requests
-    # needed a new connection, and servers reset what was over their number.
-    near = [engine(f"n-{n}", 3, slots=8) for n in range(27)]
-    kept = near[4:7]
+def test_a_connected_server_with_free_slots_is_preferred():
+    # Each entry used each of 136 servers once in seven seconds: three in four requests
+    # needed a new connection, and servers reset connections in excess of their limit.
+    local = [engine(f"n-{n}", 3, slots=8) for n in range(27)]
+    connected = local[4:7]
     for seed in range(20):
-        assert near_place(near, kept, seed=seed).backend in kept
+        assert local_place(local, connected, seed=seed).backend in connected
 
 
-def test_a_full_server_is_not_taken_for_its_open_connection():
-    near = [engine(f"n-{n}", 3, slots=8) for n in range(27)]
-    kept = [engine("kept", 7, slots=8)]
-    assert near_place([*near, *kept], kept).backend is not kept[0]
+def test_a_connected_server_that_is_full_is_not_chosen():
+    local = [engine(f"n-{n}", 3, slots=8) for n in range(27)]
+    connected = [engine("kept", 7, slots=8)]
+    assert local_place([*local, *connected], connected).backend is not connected[0]
 
 
-def test_where_nothing_near_has_a_place_all_are_looked_at():
-    assert near_place([engine(f"n-{n}", 8, slots=8) for n in range(27)]) is None
-    assert near_place([]) is None
+def test_a_local_choice_fails_if_no_local_server_has_a_free_slot():
+    assert local_place([engine(f"n-{n}", 8, slots=8) for n in range(27)]) is None
+    assert local_place([]) is None
 
 
-def test_a_silent_or_swapping_server_near_by_is_passed_over():
+def test_a_local_choice_avoids_swapping_refusing_and_outdated_servers():
     swapping = engine("swapping", 0, serving=False)
     refused = engine("refused", 0)
     refused.full_until = NOW + 1.0
     old = engine("old", 0)
-    assert near_place([swapping, refused]) is None
-    assert near_place([old], demand=Demand("dc", "m", 16, least_version=2)) is None
+    assert local_place([swapping, refused]) is None
+    assert local_place([old], demand=Demand("dc", "m", 16, least_version=2)) is None
 
 
-def test_a_choice_near_by_looks_at_a_few_servers_whatever_their_number():
-    # Guards against a walk over all servers for each request.
+def test_a_local_choice_checks_a_bounded_number_of_servers():
+    # Guards against an iteration over all servers for each request.
     class Counting(list):
-        looks = 0
+        reads = 0
 
         def __getitem__(self, index):
-            self.looks += 1
+            self.reads += 1
             return super().__getitem__(index)
 
-    near = Counting(engine(f"n-{n}", 3, slots=8) for n in range(1400))
-    assert near_place(near) is not None
-    assert near.looks <= LOCAL_PROBES
+    local = Counting(engine(f"n-{n}", 3, slots=8) for n in range(1400))
+    assert local_place(local) is not None
+    assert local.reads <= LOCAL_PROBES
--- a/tests/beliefs/test_retry_share.py
+++ b/tests/beliefs/test_retry_share.py
@@ -1,4 +1,4 @@
-"""The retry budget holds over all entries together, in any window."""
+"""The retry limit holds for all entries together, in any window."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,37 +14,37 @@
 
 @given(STEPS)
 @settings(derandomize=True, max_examples=60, deadline=None)
-def test_all_entries_together_stay_within_the_fleets_limit(steps):
-    # A service fails, and every entry would like to send each request once more:
-    # the repeats of all of them must not become the storm that keeps it down.
+def test_all_entries_together_stay_within_the_limit(steps):
+    # A service fails, and every entry would retry each request once: the retries of all
+    # entries together must not become a retry storm that prevents the recovery.
     shares = [RetryShare(RATIO, SLACK, WINDOW) for _ in range(ENTRIES)]
-    now, requests, repeats = 0.0, [], []
-    for entry, repeat, pause in steps:
+    now, requests, retries = 0.0, [], []
+    for entry, is_retry, pause in steps:
         now += pause
-        if not repeat:
+        if not is_retry:
             shares[entry].request(now)
             requests.append(now)
         elif shares[entry].may_repeat(now, ENTRIES):
-            repeats.append(now)
-            begin = now - WINDOW
-            asked = sum(t >= begin - WINDOW for t in requests)
-            made = sum(t > begin for t in repeats)
-            assert made <= RATIO * asked + SLACK
+            retries.append(now)
+            start = now - WINDOW
+            counted = sum(t >= start - WINDOW for t in requests)
+            made = sum(t > start for t in retries)
+            assert made <= RATIO * counted + SLACK
 
 
-def test_a_lone_entry_may_use_the_whole_allowance():
+def test_a_single_entry_may_use_the_whole_allowance():
     share = RetryShare(RATIO, SLACK, WINDOW)
     assert sum(share.may_repeat(0.0, 1) for _ in range(100)) == 14
 
 
-def test_allowance_comes_back_after_the_window():
+def test_the_allowance_is_renewed_after_the_window():
     share = RetryShare(RATIO, SLACK, WINDOW)
     while share.may_repeat(0.0, 1):
         pass
     assert share.may_repeat(WINDOW + 1.0, 1)
 
 
-def test_to_look_for_room_spends_nothing():
+def test_has_room_spends_nothing():
     share = RetryShare(0.2, 10.0, 10.0)
     for _ in range(50):
         assert share.has_room(0.0, 1)
--- a/tests/sessions/test_burst_session.py
+++ b/tests/sessions/test_burst_session.py
@@ -1,6 +1,6 @@
-"""Golden file of a burst at three times capacity, by given times and seed.
+"""Golden file of a burst at three times capacity, with fixed times and a fixed seed.
 
-The decisions are the real ones; clocks, engines and links are fakes of a few lines.
+The decision functions are the real ones; clocks, engines and links are small fakes.
 """
 
 import heapq
@@ -21,7 +21,7 @@
 
 
 class Session:
-    """Two entries before six servers; time is what the next event says."""
+    """Discrete-event simulation of two entries and six servers."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -31,18 +31,18 @@
             [Server(vm, "drafting", "", "here") for vm in vms] for _ in range(2)
         ]
         self.outcomes = {}
-        self.asked = {}
+        self.arrival_of = {}
         self.sent_to = {}
         self._events = []
         self._order = count()
 
-    def at(self, when, do, *args):
-        heapq.heappush(self._events, (when, next(self._order), do, args))
+    def schedule(self, due_at, callback, *args):
+        heapq.heappush(self._events, (due_at, next(self._order), callback, args))
 
     def run(self):
         while self._events:
-            now, _, do, args = heapq.heappop(self._events)
-            do(now, *args)
+            now, _, callback, args = heapq.heappop(self._events)
+            callback(now, *args)
 
     def report(self, now):
         for view in self.views:
@@ -52,7 +52,7 @@
                 server.own_reported = server.in_progress
                 server.heard_at = now
         if now < SECONDS:
-            self.at(now + REPORT_SECONDS, self.report)
+            self.schedule(now + REPORT_SECONDS, self.report)
 
     def arrive(self, now, arrival):
         ask = Ask(prefix_name(arrival.body.encode()), "here")
@@ -61,7 +61,7 @@
         gate = self.gates[server.vm]
         kind = arrival.kind
         waiting = Waiting(arrival.organisation, kind.priority, now, now + kind.deadline)
-        self.asked[waiting] = arrival
+        self.arrival_of[waiting] = arrival
         if refusal := admit(gate, waiting, now):
             self.outcomes[waiting] = ("refused at once", refusal.retry_after > 0)
             return
@@ -78,7 +78,7 @@
             self.outcomes[waiting] = ("refused later", retry_after > 0)
         while waiting := gate.next(now):
             seconds = SERVICE_SECONDS * self.rng.uniform(0.8, 1.2)
-            self.at(now + seconds, self.end, gate, waiting, seconds)
+            self.schedule(now + seconds, self.end, gate, waiting, seconds)
 
     def end(self, now, gate, waiting, seconds):
         gate.end(seconds)
@@ -90,20 +90,20 @@
 
 def test_burst(data_regression):
     session = Session(seed=1)
-    session.at(0.0, session.report)
+    session.schedule(0.0, session.report)
     for arrival in arrivals(DEPLOYMENTS["rent"], 3.0, SECONDS, random.Random(1)):
         if arrival.kind.service == "drafting":
-            session.at(arrival.due, session.arrive, arrival)
+            session.schedule(arrival.due, session.arrive, arrival)
     session.run()
-    assert len(session.outcomes) == len(session.asked)
-    assert all(told for _, told in session.outcomes.values())
-    data_regression.check(_shown(session))
+    assert len(session.outcomes) == len(session.arrival_of)
+    assert all(valid for _, valid in session.outcomes.values())
+    data_regression.check(_count_outcomes(session))
 
 
-def _shown(session):
-    shown = {}
+def _count_outcomes(session):
+    counts_by_name = {}
     for group in (lambda a: a.kind.route, lambda a: a.organisation):
         for waiting, (outcome, _) in session.outcomes.items():
-            name = group(session.asked[waiting])
-            shown.setdefault(name, Counter())[outcome] += 1
-    return {name: dict(counts) for name, counts in shown.items()}
+            name = group(session.arrival_of[waiting])
+            counts_by_name.setdefault(name, Counter())[outcome] += 1
+    return {name: dict(counts) for name, counts in counts_by_name.items()}
--- a/tests/test_arrivals_stateful.py
+++ b/tests/test_arrivals_stateful.py
@@ -1,4 +1,4 @@
-"""An attempt that was certainly given up never runs, and none runs twice."""
+"""An attempt that was certainly cancelled never runs, and no attempt runs twice."""
 
 import pytest
 from hypothesis import Phase, settings
@@ -14,15 +14,15 @@
 NAMES = st.integers(0, 1)
 
 
-class LateArrivalsRun(Arrivals):
-    """Broken: takes a request however late it comes."""
+class AcceptsLateArrivals(Arrivals):
+    """Broken: accepts a request however late it arrives."""
 
     def arrive(self, name, incarnation, not_after, now):
         return super().arrive(name, incarnation, now, now)
 
 
-class AnyProcessRuns(Arrivals):
-    """Broken: does not ask which agent process is meant."""
+class AcceptsAnyProcess(Arrivals):
+    """Broken: does not check which agent process a request is meant for."""
 
     def arrive(self, name, incarnation, not_after, now):
         return super().arrive(name, self.incarnation, not_after, now)
@@ -31,7 +31,7 @@
         return super().give_up(name, self.incarnation, not_after, now)
 
 
-class ForgetsSoon(Arrivals):
+class ForgetsTooSoon(Arrivals):
     """Broken: forgets tombstones while the request may still arrive."""
 
     def forget_old(self, now):
@@ -39,14 +39,14 @@
 
 
 class AlwaysCertain(Arrivals):
-    """Broken: takes what it has forgotten for what never came."""
+    """Broken: treats a forgotten attempt as one that never arrived."""
 
     def give_up(self, name, incarnation, not_after, now):
         return super().give_up(name, incarnation, now + ARRIVAL_SECONDS, now)
 
 
 class ArrivalsMachine(RuleBasedStateMachine):
-    """One address; requests come late, twice or never, and processes die."""
+    """One address; requests arrive late, twice or never, and processes die."""
 
     kind = Arrivals
 
@@ -71,10 +71,12 @@
     @rule(data=st.data())
     def arrive(self, data):
         name = data.draw(st.sampled_from(sorted(self.sent)))
-        incarnation, at = self.sent[name]
+        incarnation, sent_at = self.sent[name]
         known = name in self.arrivals._arrived
-        barred = self.arrivals.arrive(name, incarnation, at + ARRIVAL_SECONDS, self.now)
-        if not known and not barred:
+        refusal = self.arrivals.arrive(
+            name, incarnation, sent_at + ARRIVAL_SECONDS, self.now
+        )
+        if not known and not refusal:
             self.runs[name] = self.runs.get(name, 0) + 1
             self.arrivals.end(name, self.now)
         assert self.runs.get(name, 0) <= 1
@@ -84,8 +86,10 @@
     @rule(data=st.data())
     def give_up(self, data):
         name = data.draw(st.sampled_from(sorted(self.sent)))
-        incarnation, at = self.sent[name]
-        if self.arrivals.give_up(name, incarnation, at + ARRIVAL_SECONDS, self.now):
+        incarnation, sent_at = self.sent[name]
+        if self.arrivals.give_up(
+            name, incarnation, sent_at + ARRIVAL_SECONDS, self.now
+        ):
             self.certain.add(name)
         assert name not in self.certain or name not in self.runs
 
@@ -105,19 +109,19 @@
     report_multiple_bugs=False,
     phases=[Phase.generate],
 )
-# The examples follow the constants of all modules that are imported, and a broken copy
-# that most runs catch within the first hundreds escaped one of them.
-BROKEN = settings(LIMITS, max_examples=5000)
+# The generated examples depend on the constants of all imported modules. A broken class
+# that most runs detect within the first few hundred examples was once not detected.
+BROKEN_LIMITS = settings(LIMITS, max_examples=5000)
 
 
-def test_arrivals():
+def test_arrivals_rules_hold():
     run_state_machine_as_test(ArrivalsMachine, settings=LIMITS)
 
 
 @pytest.mark.parametrize(
-    "kind", [LateArrivalsRun, AnyProcessRuns, ForgetsSoon, AlwaysCertain]
+    "kind", [AcceptsLateArrivals, AcceptsAnyProcess, ForgetsTooSoon, AlwaysCertain]
 )
-def test_the_machine_catches_a_broken_rule(kind):
+def test_the_state_machine_detects_a_broken_rule(kind):
     machine = type("Broken", (ArrivalsMachine,), {"kind": kind})
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(machine, settings=BROKEN)
+        run_state_machine_as_test(machine, settings=BROKEN_LIMITS)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Admission and the order of waiting requests, decided with a given time."""
+"""Admission control, the order of waiting requests, and the concurrency limit."""
 
 import pytest
 from wasabideck_policy.admission import RESERVE_SECONDS, Gate, admit
@@ -10,12 +10,12 @@
     return Waiting(organisation, priority, since, deadline)
 
 
-def order_of(queue, now=0.0):
-    taken = []
+def dequeue_all(queue, now=0.0):
+    order = []
     while first := queue.first(now):
         queue.dequeue(first, now)
-        taken.append(first)
-    return taken
+        order.append(first)
+    return order
 
 
 @pytest.fixture
@@ -29,41 +29,41 @@
         gate.next(0.0)
 
 
-def test_a_dispute_goes_before_greetings_that_came_earlier():
+def test_a_dispute_starts_before_greetings_that_arrived_earlier():
     queue = FairQueue()
     for _ in range(5):
         queue.add(waiting(priority=2))
     dispute = waiting(priority=0, since=1.0)
     queue.add(dispute)
-    assert order_of(queue, now=1.0)[0] is dispute
+    assert dequeue_all(queue, now=1.0)[0] is dispute
 
 
-def test_a_large_organisation_cannot_crowd_out_a_small_one():
+def test_a_large_organisation_does_not_starve_a_small_one():
     # A large organisation sends 50 drafts at once, then a small one sends 3. First
-    # come, first served would answer the small one after all the 50.
+    # come, first served, the small one's drafts would start after all 50.
     queue = FairQueue()
     for _ in range(50):
         queue.add(waiting("large"))
     for _ in range(3):
         queue.add(waiting("small", since=0.1))
-    order = [w.organisation for w in order_of(queue, now=0.1)]
+    order = [w.organisation for w in dequeue_all(queue, now=0.1)]
     assert order[:6].count("small") == 3
 
 
-def test_an_organisation_that_paused_saves_no_turns_up():
+def test_an_idle_organisation_saves_up_no_slots():
     queue = FairQueue()
     for _ in range(20):
         queue.add(waiting("busy"))
-    order_of(queue)
+    dequeue_all(queue)
     for _ in range(10):
         queue.add(waiting("busy"))
         queue.add(waiting("back", since=0.1))
-    order = [w.organisation for w in order_of(queue)]
+    order = [w.organisation for w in dequeue_all(queue)]
     assert 4 <= order[:10].count("back") <= 6
 
 
-def test_an_old_greeting_is_served_though_urgent_ones_keep_coming():
-    # Strict classes alone would starve the greeting for as long as the burst lasts.
+def test_an_old_greeting_starts_while_urgent_requests_keep_arriving():
+    # Strict classes without aging would starve the greeting during the whole burst.
     queue = FairQueue()
     greeting = waiting(priority=2, since=0.0)
     queue.add(greeting)
@@ -79,12 +79,12 @@
     assert now >= AGING_SECONDS
 
 
-def test_no_age_lifts_a_greeting_into_the_class_of_disputes():
+def test_aging_never_raises_a_greeting_into_the_class_of_disputes():
     assert waiting(priority=2).current_class(1e6) == 1
 
 
-def test_slots_stay_free_for_the_next_dispute(gate):
-    # Greetings fill every slot, and the next dispute waits a whole answer for one.
+def test_slots_are_reserved_for_the_next_dispute(gate):
+    # If greetings use every slot, the next dispute waits until one of them completes.
     assert admit(gate, waiting(priority=0), 0.0) is None
     fill(gate, 20, priority=2)
     assert gate.running == 6
@@ -92,7 +92,7 @@
     assert gate.next(0.0).priority == 0
 
 
-def test_no_slot_is_kept_free_where_nothing_urgent_comes(gate):
+def test_no_slot_is_reserved_if_no_urgent_requests_arrive(gate):
     gate.urgent_until = RESERVE_SECONDS
     fill(gate, 20, priority=2)
     assert gate.running == 6
@@ -101,38 +101,39 @@
     assert gate.running == 8
 
 
-def test_a_request_that_cannot_be_in_time_is_refused_at_once(gate):
-    # Its caller would wait for its whole deadline, and be refused after all.
+def test_a_request_that_cannot_be_in_time_is_refused_immediately(gate):
+    # Otherwise its caller would wait until the deadline, and be refused then.
     fill(gate, 8 + 40)
     refusal = admit(gate, waiting(deadline=4.0), 0.0)
     assert refusal.failure.kind == "ShareUsed"
     assert refusal.retry_after > 0
 
 
-def test_a_refusal_says_whether_another_server_is_worth_a_retry(gate):
-    # All entries' retries come from one small budget. Spent on a large organisation
-    # that has queues everywhere, nothing is left for those who would find room.
+def test_a_refusal_indicates_whether_to_retry_at_another_server(gate):
+    # All retries are charged to one small budget. If a large organisation with queues
+    # at all servers spends it, nothing is left for organisations that have room
+    # elsewhere.
     fill(gate, 8 + 60, organisation="large")
     assert admit(gate, waiting("large", deadline=2.0), 0.0).failure.kind == "ShareUsed"
     assert admit(gate, waiting("small", deadline=1.1), 0.0).failure.kind == "Overloaded"
 
 
-def test_the_small_organisation_is_let_in_where_the_large_one_is_refused(gate):
-    # With one queue for all, whoever sends most also gets most of the refusals'
-    # other side: all organisations are refused alike, so the large one gets it all.
+def test_a_small_organisation_is_admitted_where_a_large_one_is_refused(gate):
+    # With one queue for all organisations, all of them would be refused equally often,
+    # and the one that sends the most requests would get nearly all slots.
     fill(gate, 8 + 60, organisation="large")
     assert admit(gate, waiting("large", deadline=5.0), 0.0)
     assert admit(gate, waiting("small", deadline=5.0), 0.0) is None
 
 
-def test_an_idle_server_refuses_nobody_for_being_slow(gate):
-    # One stalled answer makes the smoothed time longer than any deadline; refusing
-    # on its account alone would leave nothing that could correct it.
+def test_an_idle_server_admits_requests_though_it_was_slow(gate):
+    # One stalled response makes the smoothed duration longer than any deadline. If all
+    # requests were refused for that, no request could correct the duration.
     gate.service_time = 60.0
     assert admit(gate, waiting(deadline=5.0), 0.0) is None
 
 
-def test_a_wait_counts_the_more_urgent_that_will_overtake(gate):
+def test_the_expected_wait_includes_more_urgent_requests(gate):
     fill(gate, 8 + 8, priority=2)
     before = gate.expected_wait(waiting(priority=2), 0.0)
     for _ in range(20):
@@ -143,9 +144,9 @@
 
 
 @pytest.mark.parametrize("slots", [2, 4, 8])
-def test_the_limit_finds_the_slots_of_a_server_that_reports_no_load(slots):
-    # The settings allow 32 at once; the server works on a few, and lets the others
-    # queue inside it, where neither classes nor organisations count.
+def test_the_limit_approaches_the_slots_of_a_server_without_load_reports(slots):
+    # The settings allow 32 concurrent requests. The server runs a few of them and
+    # queues the others internally, without regard to classes and organisations.
     limit = AdaptiveLimit(limit=32, most=32)
     for _ in range(1990):
         running = limit.slots
@@ -153,14 +154,14 @@
     assert slots <= limit.slots <= slots + 2
 
 
-def test_the_limit_grows_again_when_the_server_got_faster():
+def test_the_limit_increases_when_the_server_becomes_faster():
     limit = AdaptiveLimit(limit=2, most=16, min_seconds=0.02, seconds=0.02)
     for _ in range(500):
         limit.observe(0.02, limit.slots)
     assert limit.slots == 16
 
 
-def test_the_limit_falls_soon_when_requests_begin_to_queue_inside():
+def test_the_limit_decreases_soon_when_requests_queue_in_the_server():
     limit = AdaptiveLimit(limit=16, most=16, min_seconds=0.02, seconds=0.02)
     for _ in range(100):
         running = limit.slots
--- a/tests/test_lost_and_crashing.py
+++ b/tests/test_lost_and_crashing.py
@@ -1,4 +1,4 @@
-"""Requests that crash their servers, and orders whose agent is lost."""
+"""Requests that crash their servers, and non-repeatable orders whose agent is lost."""
 
 import asyncio
 
@@ -20,10 +20,10 @@
 from wasabideck_policy.quarantine import Quarantine
 
 
-def test_a_crashing_request_stops_at_two_crashes_through_any_entries():
-    """A request kills each server that runs it; its caller sends it again, through
-    another entry each time. Two servers die of it, the third is spared, and the
-    caller's further tries get a final refusal at once.
+def test_a_crashing_request_is_quarantined_after_two_crashes():
+    """A request crashes each server that runs it; its caller retries it through another
+    entry each time. Two servers crash, the third doesn't run it, and further retries
+    are refused immediately and finally.
     """
 
     async def body():
@@ -31,7 +31,7 @@
             await engine_agent(f"draft-{i}", engine_kw={"dies_at": 0}).serve()
             for i in (1, 2, 3)
         ]
-        shared = Quarantine()  # what the entries' spread amounts to
+        shared = Quarantine()  # stands for the gossip between the entries
         outcomes = []
         for _ in range(3):
             caller = caller_of(*map(server_of, agents), quarantine=shared)
@@ -48,10 +48,10 @@
     asyncio.run(body())
 
 
-def test_a_suspect_runs_beside_nothing_else():
-    """A request was on a server when it crashed; perhaps another was to blame.
+def test_a_suspected_request_runs_alone():
+    """A request was running when its server crashed; another may be the cause.
 
-    It runs again, but alone: if it crashes that server too, nobody else is hit.
+    It runs again, but alone: if it crashes that server too, it affects no others.
     """
 
     async def body():
@@ -79,11 +79,12 @@
 
 
 @pytest.mark.parametrize("moment", ["before the claim", "in the run", "recorded"])
-def test_an_order_whose_agent_is_lost_is_settled_by_its_claim(moment):
-    """An agent is lost with an order on it, and perhaps only paused.
+def test_the_claim_decides_the_outcome_of_an_order_whose_agent_is_lost(moment):
+    """An agent that has an order is lost; it may only be suspended.
 
-    Not yet claimed: it is barred, and another server runs it; the first wakes up and
-    must not. Recorded: the caller gets the stored receipt. In between: nobody knows.
+    Before the claim, the attempt is barred and another server runs the order; the first
+    agent must not run it when it resumes. Once the order is recorded, the caller gets
+    the stored receipt. In between, the outcome is unknown.
     """
 
     async def body():
@@ -100,12 +101,12 @@
         await two.serve()
         servers = server_of(one), server_of(two)
         caller = caller_of(*servers, table=table)
-        asked = asyncio.create_task(answer(caller, call(False, key="k1")))
+        response = asyncio.create_task(answer(caller, call(False, key="k1")))
         await (held if moment == "before the claim" else one.plain).entered.wait()
         one.server.close()
         if moment == "recorded":
             hold.set()
-        text, outcome = await asked
+        text, outcome = await response
         hold.set()
         for attempt in one.runner.attempts.in_progress():
             await one.final(attempt)
@@ -118,11 +119,11 @@
     asyncio.run(body())
 
 
-def test_a_barred_order_does_not_run_when_its_agent_wakes():
-    """The only server's agent is paused before it claims an order; the caller is
-    told "not run". The agent wakes, with time left, and still has the order.
+def test_a_barred_order_does_not_run_when_its_agent_resumes():
+    """The only server's agent is suspended before it claims an order, and the caller
+    gets "not run". The agent resumes before the deadline, and still has the order.
 
-    Its attempt is barred in the claim's row, so it gives up; another try may run.
+    Its attempt is barred in the claim's row, so it is cancelled; a retry may run.
     """
 
     async def body():
@@ -130,12 +131,12 @@
         held.rows = table.rows
         one = await FakeAgent("order-1", held, plain=FakePlain()).serve()
         caller = caller_of(server_of(one), table=table)
-        asked = asyncio.create_task(answer(caller, call(False, key="k1")))
+        response = asyncio.create_task(answer(caller, call(False, key="k1")))
         await held.entered.wait()
         attempt = one.runner.attempts.in_progress()[0]
         with attempt.reading(one.now):
             one.server.close()
-            _, outcome = await asked
+            _, outcome = await response
             held.hold.set()
             final = await one.final(attempt)
         assert isinstance(outcome, NotRun) and outcome.settled
@@ -147,11 +148,11 @@
     asyncio.run(body())
 
 
-def test_a_resent_order_is_not_refused_for_what_its_first_try_may_have_done():
-    """An entry is killed with an order on it; the caller resends its key elsewhere.
+def test_a_retried_order_is_unknown_if_its_first_attempt_may_have_run():
+    """An entry that has an order is killed; the caller retries the key elsewhere.
 
-    The store is down, so this try does not run. "Not run" would be taken as said of
-    the order, whose first try may have printed it.
+    The store is down, so this attempt does not run. The caller would take "not run" for
+    the outcome of the order, but its first attempt may have printed it.
     """
 
     async def body():
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of servers, decided with a given time and seed."""
+"""Choice of servers, with a fixed time and seed."""
 
 from collections import Counter
 
@@ -27,67 +27,67 @@
     ]
 
 
-def spread(choose, fleet, ask, rng, requests):
-    """Requests by VM, none of which ends and no report of which comes."""
+def count_requests(choose, deployed, ask, rng, requests):
+    """Return requests by VM, while none of them ends and no report arrives."""
     counts = Counter()
     for _ in range(requests):
-        server = choose(fleet, ask, NOW, rng)
+        server = choose(deployed, ask, NOW, rng)
         server.in_progress += 1
         counts[server.vm] += 1
     return counts
 
 
-def test_a_burst_between_two_reports_is_spread(rng):
-    # One server was idle and the others busy when they last told. Until the next
-    # report the idle one looks the best, and without the entry's own count on top
-    # of the report it would be sent the whole burst.
-    fleet = servers(4, reported=6)
-    fleet[0].reported = 0
-    counts = spread(two_choices, fleet, Ask(), rng, 200)
+def test_a_burst_between_two_reports_is_distributed(rng):
+    # One server was idle and the others busy at their last reports. Until the next
+    # report the idle one seems to be the best, and if the entry didn't add its own
+    # requests to the report, that server would get the whole burst.
+    deployed = servers(4, reported=6)
+    deployed[0].reported = 0
+    counts = count_requests(two_choices, deployed, Ask(), rng, 200)
     assert max(counts.values()) < 200 / 4 * 1.3
 
 
-def test_a_slow_server_is_given_less(rng):
-    fleet = servers(4, service_time=1.0)
-    fleet[0].service_time = 2.0
-    counts = spread(two_choices, fleet, Ask(), rng, 400)
+def test_a_slow_server_gets_fewer_requests(rng):
+    deployed = servers(4, service_time=1.0)
+    deployed[0].service_time = 2.0
+    counts = count_requests(two_choices, deployed, Ask(), rng, 400)
     assert 0.4 < counts["here-0"] / counts["here-1"] < 0.65
 
 
-def test_a_prefix_stays_at_its_server_until_that_is_full(rng):
-    fleet = servers(6, service_time=0.6)
+def test_a_prefix_stays_at_its_home_server_until_that_is_full(rng):
+    deployed = servers(6, service_time=0.6)
     ask = Ask("prefix", "here")
-    place = home_server("prefix", fleet)
-    assert priced(fleet, ask, NOW, rng) is place
-    place.prefixes = ["prefix"]
-    counts = spread(priced, fleet, ask, rng, 120)
-    # Bounded: more than an even share, and far from all of it.
-    assert 20 < counts[place.vm] < 60
+    prefix_home = home_server("prefix", deployed)
+    assert priced(deployed, ask, NOW, rng) is prefix_home
+    prefix_home.prefixes = ["prefix"]
+    counts = count_requests(priced, deployed, ask, rng, 120)
+    # More than an even share, but far fewer than all requests.
+    assert 20 < counts[prefix_home.vm] < 60
 
 
-def test_a_prefix_is_sought_where_events_say_it_is(rng):
-    fleet = servers(6)
-    holder = next(s for s in fleet if s is not home_server("prefix", fleet))
+def test_a_request_goes_to_the_server_that_caches_its_prefix(rng):
+    deployed = servers(6)
+    holder = next(s for s in deployed if s is not home_server("prefix", deployed))
     holder.prefixes = ["prefix"]
-    assert priced(fleet, Ask("prefix", "here"), NOW, rng) is holder
+    assert priced(deployed, Ask("prefix", "here"), NOW, rng) is holder
 
 
-def test_the_own_region_comes_first_and_spills_when_pressed(rng):
-    near, far = servers(2), servers(2, "there")
-    for server in near + far:
+def test_the_own_region_is_preferred_until_it_is_loaded(rng):
+    local, remote = servers(2), servers(2, "there")
+    for server in local + remote:
         server.service_time = 0.6
-    for server in near:
+    for server in local:
         server.reported = 1
     ask = Ask(region="here")
-    assert all(priced(near + far, ask, NOW, rng) in near for _ in range(30))
-    for server in near:
+    assert all(priced(local + remote, ask, NOW, rng) in local for _ in range(30))
+    for server in local:
         server.reported = 8
-    assert all(priced(near + far, ask, NOW, rng) in far for _ in range(30))
+    assert all(priced(local + remote, ask, NOW, rng) in remote for _ in range(30))
 
 
-def test_a_gap_in_the_cache_events_makes_what_was_known_end():
-    # The event that told of a prefix's end is lost; the entry would go on sending
-    # its requests to a server that reads the whole prompt each time.
+def test_known_prefixes_expire_after_a_gap_in_the_cache_events():
+    # The event that reports the removal of a prefix is lost. The entry would continue
+    # to send its requests to a server that reads the whole prompt each time.
     view = CacheView()
     view.apply([(1, "a", True), (2, "b", True)], NOW)
     view.apply([(4, "c", True)], NOW + 1)
@@ -95,7 +95,7 @@
     assert view.held(NOW + 2 + GAP_EXPIRY_SECONDS) == ["c"]
 
 
-def test_late_cache_events_do_not_bring_a_prefix_back():
+def test_late_cache_events_do_not_restore_a_prefix():
     view = CacheView()
     view.apply([(1, "a", True), (2, "a", False)], NOW)
     view.apply([(1, "a", True)], NOW)
@@ -105,32 +105,32 @@
 @given(st.integers(1, 40), st.integers(0, 300))
 def test_every_server_is_used_by_as_many_entries_as_any_other(entries, count):
     names = [f"entry-{i}" for i in range(entries)]
-    fleet = [f"server-{i}" for i in range(count)]
-    subsets = [subset(name, names, fleet, OWN_REGION) for name in names]
+    deployed = [f"server-{i}" for i in range(count)]
+    subsets = [subset(name, names, deployed, OWN_REGION) for name in names]
     used = Counter(vm for one in subsets for vm in one)
     assert len(used) == count
     assert not count or max(used.values()) - min(used.values()) <= 2
 
 
-def test_a_server_more_moves_few_of_the_others():
+def test_an_added_server_changes_few_subsets():
     names = [f"entry-{i}" for i in range(410)]
-    fleet = [f"server-{i}" for i in range(1400)]
+    deployed = [f"server-{i}" for i in range(1400)]
     moved = 0
     for name in names[::20]:
-        before = subset(name, names, fleet, OWN_REGION)
-        after = subset(name, names, [*fleet, "server-new"], OWN_REGION)
+        before = subset(name, names, deployed, OWN_REGION)
+        after = subset(name, names, [*deployed, "server-new"], OWN_REGION)
         moved += len(after - before)
     assert moved / len(names[::20]) <= 1.0
-    assert len(subset("entry-7", names, fleet, OWN_REGION)) == OWN_REGION.min_servers
+    assert len(subset("entry-7", names, deployed, OWN_REGION)) == OWN_REGION.min_servers
 
 
-def test_asking_does_not_grow_with_the_fleet():
+def test_the_poll_rate_does_not_grow_with_the_number_of_servers():
     for count in (1, 12, 60, 1400):
         assert count / poll_pause(count) <= max(POLLS_PER_SECOND, count / 0.25)
     assert 1400 / poll_pause(1400) == pytest.approx(POLLS_PER_SECOND)
 
 
-def test_a_failing_server_is_left_out_and_returns():
+def test_a_failing_server_is_ejected_and_used_again_later():
     outliers = Outliers()
     vms = ["a", "b", "c"]
     for _ in range(3):
@@ -143,9 +143,9 @@
     assert not outliers.out("a", NOW + 3.5)
 
 
-def test_no_fault_of_all_servers_leaves_all_of_them_out():
-    # The store of a service fails and each server with it. Left out one by one, the
-    # last would get the load of all, and die of it.
+def test_a_fault_of_all_servers_ejects_none_of_them():
+    # The store of a service fails, and all servers with it. If they were ejected one by
+    # one, the last server would get the whole load, and crash.
     outliers = Outliers()
     for vm in ("a", "b", "c"):
         for _ in range(3):
@@ -157,7 +157,7 @@
     return Member(vm, AGENT, address, leaving=leaving)
 
 
-def test_a_server_that_said_it_leaves_stays_left_while_the_list_lags():
+def test_a_reported_shutdown_stays_known_while_the_list_is_delayed():
     known = join({}, [member()], NOW)
     known["a"].answered(True, NOW)
     known["a"].answered(False, NOW + 1)
@@ -166,8 +166,8 @@
     assert not join(known, [member(address="2")], NOW + 3)["a"].leaving
 
 
-def test_a_server_that_the_list_lost_is_kept_while_it_answers():
-    # The list comes back from an outage short, and drops servers that work.
+def test_a_server_missing_from_the_list_is_kept_while_it_responds():
+    # After an outage the list is incomplete, and lacks servers that work.
     known = join({}, [member("a"), member("b")], NOW)
     known["a"].answered(False, NOW)
     assert join(known, [], NOW + 1).keys() == {"a"}
