--- a/packages/wasabideck_policy/wasabideck_policy/admission.py
+++ b/packages/wasabideck_policy/wasabideck_policy/admission.py
@@ -30,7 +30,7 @@
         Number of requests that the server runs concurrently.
     service_time : float
         Smoothed duration of one request, seconds.
-    urgent_until : float
+    reserve_until : float
         Until when slots are reserved for the most urgent class.
     """
 
@@ -40,7 +40,7 @@
     waiting: int = 0
     open: bool = False
     leaving: bool = False
-    urgent_until: float = 0.0
+    reserve_until: float = 0.0
     queue: FairQueue = field(factory=FairQueue)
     _start_ratios: dict[int, float] = field(factory=dict)
 
@@ -52,7 +52,7 @@
         some slots are reserved for that class while any requests of it arrive.
         """
         reserved = (
-            self.capacity // RESERVED_SLOTS_DIVISOR if now < self.urgent_until else 0
+            self.capacity // RESERVED_SLOTS_DIVISOR if now < self.reserve_until else 0
         )
         return self.capacity if priority == MOST_URGENT else self.capacity - reserved
 
@@ -106,7 +106,7 @@
     if not gate.open:
         return NotRun(Failure("NotServing", "no complete version in effect"), 1.0)
     if waiting.priority == MOST_URGENT:
-        gate.urgent_until = now + RESERVE_SECONDS
+        gate.reserve_until = now + RESERVE_SECONDS
     wait = gate.expected_wait(waiting, now)
     slack = waiting.deadline - now - gate.service_time
     # An organisation that already has waiting requests may use only half of the
--- a/packages/wasabideck_policy/wasabideck_policy/backends.py
+++ b/packages/wasabideck_policy/wasabideck_policy/backends.py
@@ -6,9 +6,9 @@
 
 from attrs import define, field, frozen
 
-from .engine_news import FRESH_SECONDS, EngineNews
+from .engine_news import MAX_REPORT_AGE_SECONDS, EngineNews
 
-__all__ = ["MAX_SILENT_RATIO", "Backend", "Backends", "Listed", "Loaded"]
+__all__ = ["MAX_UNRESPONSIVE_RATIO", "Backend", "Backends", "Listed", "Loaded"]
 
 # After an outage of the list, a server that is still running is listed again within
 # about two seconds. Until then, its removal from the list is ignored.
@@ -29,7 +29,7 @@
 UNRESPONSIVE_SECONDS = 0.7
 # If more than this fraction of several servers is unresponsive, the cause is rather the
 # network to them, or this process itself.
-MAX_SILENT_RATIO = 0.5
+MAX_UNRESPONSIVE_RATIO = 0.5
 MIN_SERVERS_FOR_NETWORK_FAULT = 3
 # Half of that time is enough when most servers of a data centre are unresponsive:
 # otherwise the first stream would be cancelled before the other servers count as
@@ -80,10 +80,10 @@
     ----------
     in_progress : int
         Requests of this process that are on it now.
-    asked_at : float
+    waiting_since : float
         When the current wait for data began, seconds: this process sent a request
         while it had none on the server, and had received data since the last wait.
-    sent_since : int
+    sent_since_report : int
         Requests that this process sent to it since its agent's last report.
     unread : set
         Requests of this process whose first event has not been received.
@@ -102,14 +102,14 @@
         Since when its agent has reported that it accepts no new requests, seconds.
     full_until : float
         Until when it counts as full, because it refused a request.
-    held_until : float
+    kept_until : float
         Until when its removal from the list is ignored; 0 while it is listed.
     """
 
     listed: Listed
     in_progress: int = 0
-    asked_at: float = float("-inf")
-    sent_since: int = 0
+    waiting_since: float = float("-inf")
+    sent_since_report: int = 0
     unread: set[Hashable] = field(factory=set)
     others: float = 0.0
     told_at: float = 0.0
@@ -118,7 +118,7 @@
     news_at: float = 0.0
     stopping_since: float | None = None
     full_until: float = 0.0
-    held_until: float = 0.0
+    kept_until: float = 0.0
     versions: dict[str, int] = field(factory=dict)
 
     @property
@@ -131,19 +131,19 @@
         # A server that sent no data before its requests were cancelled remains
         # unresponsive: if the wait started anew with the next request, it would attract
         # requests for another while.
-        if self.in_progress == 0 and self._last_received_at() > self.asked_at:
-            self.asked_at = now
+        if self.in_progress == 0 and self._last_received_at() > self.waiting_since:
+            self.waiting_since = now
         self.in_progress += 1
-        self.sent_since += 1
+        self.sent_since_report += 1
 
-    def silent(self, now: float, quiet: float = UNRESPONSIVE_SECONDS) -> bool:
+    def is_unresponsive(self, now: float, limit: float = UNRESPONSIVE_SECONDS) -> bool:
         """Whether it sent no data for too long while requests wait on it.
 
         A server without requests counts as responsive, so that one request at a time
         is always tried on it.
         """
-        last = max(self.asked_at, self._last_received_at())
-        return self.in_progress > 0 and now - last > quiet
+        since = max(self.waiting_since, self._last_received_at())
+        return self.in_progress > 0 and now - since > limit
 
     def _last_received_at(self) -> float:
         return max(self.heard_at, self.news_at)
@@ -155,7 +155,7 @@
         if self.fresh_news(now) is None:
             # Its agent is lost. The assumed requests of other entries would only grow
             # with each request, and a healthy server would seem full forever.
-            self.sent_since = 0
+            self.sent_since_report = 0
 
     def hear(self, news: EngineNews, now: float) -> None:
         """Record a report of its agent."""
@@ -166,11 +166,11 @@
             self.stopping_since = now
         self.others = max(0, news.pressed - self.in_progress)
         self.told_at = self.news_at = now
-        self.sent_since = 0
+        self.sent_since_report = 0
 
     def fresh_news(self, now: float) -> EngineNews | None:
         """Return the last report of its agent, or None if it is too old."""
-        return self.news if now - self.news_at <= FRESH_SECONDS else None
+        return self.news if now - self.news_at <= MAX_REPORT_AGE_SECONDS else None
 
     def holds(self, model: str, layers: int, now: float) -> int:
         """Return the version of which it holds all layers of the model; 0 for none."""
@@ -206,7 +206,7 @@
     _of_service: dict[str, tuple[Backend, ...]] = field(factory=dict)
     _near: dict[tuple[str, str], tuple[Backend, ...]] = field(factory=dict)
     _indexed: bool = False
-    _next_held_until: float = float("inf")
+    _next_kept_until: float = float("inf")
 
     def __len__(self) -> int:
         return len(self._known)
@@ -249,10 +249,12 @@
             for b in self._known.values()
             if b.listed.data_centre == data_centre and b.in_progress > 0
         ]
-        silent = sum(b.silent(now, NETWORK_UNRESPONSIVE_SECONDS) for b in busy)
+        unresponsive = sum(
+            b.is_unresponsive(now, NETWORK_UNRESPONSIVE_SECONDS) for b in busy
+        )
         return (
             len(busy) >= MIN_SERVERS_FOR_NETWORK_FAULT
-            and silent > len(busy) * MAX_SILENT_RATIO
+            and unresponsive > len(busy) * MAX_UNRESPONSIVE_RATIO
         )
 
     def at(self, address: str) -> Backend | None:
@@ -273,7 +275,7 @@
         elif known.listed.loaded != listed.loaded:
             known.versions.clear()
         known.listed = listed
-        known.held_until = 0.0
+        known.kept_until = 0.0
         return known
 
     def keep_only(self, listed: set[str], now: float, since: float) -> list[str]:
@@ -297,16 +299,16 @@
         self._indexed = False
         since = now if since is None else since
         removed = [self._known[name] for name in servers if name in self._known]
-        held_until = self.outage_ended + RELISTING_SECONDS
+        kept_until = self.outage_ended + RELISTING_SECONDS
         if self._is_mass_removal(removed):
-            held_until = max(held_until, since + self.mass_seconds)
+            kept_until = max(kept_until, since + self.mass_seconds)
         for backend in removed:
             # A server that was last listed as shutting down has shut down.
-            if held_until <= now or backend.listed.leaving:
+            if kept_until <= now or backend.listed.leaving:
                 del self._known[backend.server]
-            elif not backend.held_until:
-                backend.held_until = held_until
-                self._next_held_until = min(self._next_held_until, held_until)
+            elif not backend.kept_until:
+                backend.kept_until = kept_until
+                self._next_kept_until = min(self._next_kept_until, kept_until)
 
     def _is_mass_removal(self, removed: list[Backend]) -> bool:
         """Whether so many servers were removed at once that the list is at fault."""
@@ -343,14 +345,14 @@
         self._near = {key: tuple(members) for key, members in by_data_centre.items()}
 
     def _drop_removed(self, now: float) -> None:
-        if now < self._next_held_until:
+        if now < self._next_kept_until:
             return
         self._indexed = False
         for backend in list(self._known.values()):
-            if backend.held_until and now >= backend.held_until:
+            if backend.kept_until and now >= backend.kept_until:
                 del self._known[backend.server]
-        held = (b.held_until for b in self._known.values() if b.held_until)
-        self._next_held_until = min(held, default=float("inf"))
+        held = (b.kept_until for b in self._known.values() if b.kept_until)
+        self._next_kept_until = min(held, default=float("inf"))
 
 
 def _is_replaced(backend: Backend, latest_at: Mapping[str, Backend]) -> bool:
--- a/packages/wasabideck_policy/wasabideck_policy/engine_news.py
+++ b/packages/wasabideck_policy/wasabideck_policy/engine_news.py
@@ -6,11 +6,11 @@
 
 from attrs import frozen
 
-__all__ = ["FRESH_SECONDS", "EngineNews", "back_in", "worth_telling"]
+__all__ = ["MAX_REPORT_AGE_SECONDS", "EngineNews", "back_in", "worth_telling"]
 
 # Maximum age of a report; older ones are ignored. An agent reports four times a second,
 # and a datagram or two may be lost.
-FRESH_SECONDS = 1.2
+MAX_REPORT_AGE_SECONDS = 1.2
 # A change by this many requests is reported immediately also to processes that get
 # less frequent reports.
 BIG_CHANGE = 4
--- a/packages/wasabideck_policy/wasabideck_policy/placement.py
+++ b/packages/wasabideck_policy/wasabideck_policy/placement.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from .backends import MAX_SILENT_RATIO, Backend
+from .backends import MAX_UNRESPONSIVE_RATIO, Backend
 from .engine_news import EngineNews, back_in
 
 __all__ = ["Demand", "Place", "Urgency", "choose", "choose_near", "estimated_load"]
@@ -148,7 +148,7 @@
         Requests that other entries send there for each request of this entry.
     """
     age = max(0.0, now - backend.told_at)
-    others = backend.others + backend.sent_since * competing_requests
+    others = backend.others + backend.sent_since_report * competing_requests
     if others <= 0:
         return backend.in_progress
     return backend.in_progress + others * exp(-age / FADING_SECONDS)
@@ -211,7 +211,7 @@
 def _starts_at_once(
     backend: Backend, demand: Demand, now: float, competing: float
 ) -> bool:
-    if backend.full_until > now or backend.silent(now):
+    if backend.full_until > now or backend.is_unresponsive(now):
         return False
     if not _is_eligible(backend, demand, now, competing):
         return False
@@ -297,7 +297,7 @@
     return reported or eligible
 
 
-def _without_unresponsive(eligible: list[Backend], now: float) -> list[Backend]:
+def _without_unresponsive(servers: list[Backend], now: float) -> list[Backend]:
     """Filter out unresponsive servers, unless most of them are unresponsive.
 
     Otherwise the few remaining servers would be overloaded.
@@ -308,8 +308,8 @@
     attract most new requests, and each would wait in vain for most of its caller's
     timeout.
     """
-    rest = [b for b in eligible if not b.silent(now)]
-    return rest if len(rest) >= len(eligible) * (1 - MAX_SILENT_RATIO) else eligible
+    rest = [b for b in servers if not b.is_unresponsive(now)]
+    return rest if len(rest) >= len(servers) * (1 - MAX_UNRESPONSIVE_RATIO) else servers
 
 
 def _seconds_until_ready(
--- a/packages/wasabideck_policy/wasabideck_policy/retry.py
+++ b/packages/wasabideck_policy/wasabideck_policy/retry.py
@@ -37,17 +37,17 @@
     ----------
     ratio : float
         Retries earned by one request.
-    most : float
+    max_tokens : float
         Maximum number of tokens.
     """
 
     ratio: float = 0.1
-    most: float = 10.0
+    max_tokens: float = 10.0
     tokens: float = 10.0
 
     def earn(self) -> None:
         """Count one request."""
-        self.tokens = min(self.most, self.tokens + self.ratio)
+        self.tokens = min(self.max_tokens, self.tokens + self.ratio)
 
     def spend(self) -> bool:
         """Whether one more retry may be made now; spends a token if so."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -93,7 +93,7 @@
 
 
 def test_no_slot_is_reserved_if_no_urgent_requests_arrive(gate):
-    gate.urgent_until = RESERVE_SECONDS
+    gate.reserve_until = RESERVE_SECONDS
     fill(gate, 20, priority=2)
     assert gate.running == 6
     while gate.next(RESERVE_SECONDS):
