--- a/packages/wasabideck_policy/wasabideck_policy/backends.py
+++ b/packages/wasabideck_policy/wasabideck_policy/backends.py
@@ -280,9 +280,9 @@
 
     def keep_only(self, listed: set[str], now: float, since: float) -> list[str]:
         """Remove the servers that a complete list lacks, and return their names."""
-        gone = [name for name in self._known if name not in listed]
-        self.remove(gone, now, since)
-        return gone
+        removed = [name for name in self._known if name not in listed]
+        self.remove(removed, now, since)
+        return removed
 
     def remove(
         self, servers: Iterable[str], now: float, since: float | None = None
@@ -360,7 +360,7 @@
 
     After a power loss, the entries of terminated servers stay listed for seconds, with
     the weights that they held. A process that starts then has no other information on
-    them; the requests that it sends there are refused, and each has lost one try.
+    them; the requests that it sends there are refused, which costs each one attempt.
     """
     born = backend.listed.born
     return 0 < born < latest_at[backend.listed.address].listed.born
--- a/packages/wasabideck_policy/wasabideck_policy/observation.py
+++ b/packages/wasabideck_policy/wasabideck_policy/observation.py
@@ -22,7 +22,7 @@
     Attributes
     ----------
     listed_leaving : bool
-        Whether the list says that the VM is shutting down; it is delayed by many
+        Whether the list marks the VM as shutting down. The list is delayed by many
         seconds.
     reported_leaving : bool
         Whether the VM itself reported that it is shutting down. A shutdown is never
--- a/packages/wasabideck_policy/wasabideck_policy/placement.py
+++ b/packages/wasabideck_policy/wasabideck_policy/placement.py
@@ -138,7 +138,7 @@
 
     All entries receive an agent's report at the same time. When most servers are full,
     all entries send to the one that reported capacity: 52 requests arrived in 0.2 s
-    where 36 had room. The server refused the rest, each of which lost one try, and
+    where 36 had room. The server refused the rest, which cost each one attempt, and
     the accepted ones waited for seconds. Therefore each entry assumes that the other
     entries send as it does itself, until the agent's next report.
 
--- a/packages/wasabideck_policy/wasabideck_policy/retry_share.py
+++ b/packages/wasabideck_policy/wasabideck_policy/retry_share.py
@@ -38,7 +38,7 @@
     window: float
     _buckets: deque[list[float]] = field(factory=deque)
     _requests: int = 0
-    _retries: int = 0
+    _repeats: int = 0
 
     def request(self, now: float) -> None:
         """Count a caller's request."""
@@ -51,20 +51,20 @@
         if not self.has_room(now, entries):
             return False
         bucket[2] += 1
-        self._retries += 1
+        self._repeats += 1
         return True
 
     def has_room(self, now: float, entries: int) -> bool:
         """Whether one more retry would be within the limit."""
         self._bucket(now)
         allowed = self.ratio * self._requests + self.slack / max(entries, 1)
-        return self._retries + 1 <= USED_ALLOWANCE_RATIO * allowed
+        return self._repeats + 1 <= USED_ALLOWANCE_RATIO * allowed
 
     def _bucket(self, now: float) -> list[float]:
         while self._buckets and self._buckets[0][0] < now - self.window:
             _, requests, retries = self._buckets.popleft()
             self._requests -= requests
-            self._retries -= retries
+            self._repeats -= retries
         if not self._buckets or now - self._buckets[-1][0] >= BUCKET_SECONDS:
             self._buckets.append([now, 0, 0])
         return self._buckets[-1]
--- a/packages/wasabideck_policy/wasabideck_policy/routing.py
+++ b/packages/wasabideck_policy/wasabideck_policy/routing.py
@@ -154,14 +154,14 @@
 
 def round_robin() -> Choice:
     """Return a policy that uses the servers in round-robin order."""
-    turn = 0
+    index = 0
 
     def choose(
         servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
     ) -> Server:
-        nonlocal turn
-        turn += 1
-        return servers[turn % len(servers)]
+        nonlocal index
+        index += 1
+        return servers[index % len(servers)]
 
     return choose
 
--- a/tests/beliefs/test_backends.py
+++ b/tests/beliefs/test_backends.py
@@ -101,8 +101,8 @@
 def test_a_server_whose_address_was_reused_gets_no_requests():
     # All servers lose power and restart under other names. An entry that starts reads
     # the old entries, which expire later, beside the new ones. It sent requests to the
-    # old servers, which were refused and lost one try each, and assigned the reports of
-    # agents to them.
+    # old servers, which were refused at the cost of one attempt each, and assigned the
+    # reports of agents to them.
     backends = Backends()
     backends.take(at("10.0.0.1:1", "old", 1, loaded=(Loaded("m", 2, 0, 16),)))
     backends.take(at("10.0.0.1:1", "new", 2))
