--- a/packages/wasabideck_forward/wasabideck_forward/caller_connection.py
+++ b/packages/wasabideck_forward/wasabideck_forward/caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: requests are read whole, answers written as they come."""
+"""Connection to one caller: reads complete requests, writes responses as they come."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from .early_callers import EarlyCallers
 from .messages import CallerRequest, Wire, header_of
 
-__all__ = ["CallerConnection", "Front"]
+__all__ = ["CallerConnection", "CallerEndpoint"]
 
-# Requests that a caller sent ahead of their turn before reading pauses.
-MOST_AHEAD = 4
-# A connection is closed a little after the time that callers are told, so that a
-# request sent at the last moment does not cross the close (seconds).
-IDLE_SLACK_SECONDS = 1.0
-_BODYLESS = frozenset((204, 304))
-_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+# Pipelined requests that may wait on a connection before reading from it is paused.
+MAX_PIPELINED_REQUESTS = 4
+# Added to the idle timeout that callers are told, so that a request sent at the last
+# moment does not cross the close of the connection.
+IDLE_GRACE_SECONDS = 1.0
+_BODYLESS_STATUSES = frozenset((204, 304))
+_CLOSED_POLL_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 @define(eq=False)
-class Front:
-    """What all callers' connections of a process share.
+class CallerEndpoint:
+    """State that all connections accepted at one address share.
 
     Attributes
     ----------
     limits : callable
-        The limits in force now.
+        Returns the limits that are in effect now.
     serve : callable
         Coroutine function that answers one request on its connection.
-    closing : bool
-        Whether connections are closed after their present request.
-    early : EarlyCallers or None
-        Those who waited for this process to start, until they are all taken.
+    draining : bool
+        Whether connections are closed after their current request.
+    early_callers : EarlyCallers or None
+        Callers that connected while this process was starting.
     """
 
     wire: Wire
@@ -47,34 +47,34 @@
     limits: Callable[[], CallerLimits]
     serve: Callable[[CallerRequest, CallerConnection], object]
     connections: set[CallerConnection]
-    closing: bool = False
-    early: EarlyCallers | None = None
+    draining: bool = False
+    early_callers: EarlyCallers | None = None
 
     def sweep(self) -> None:
-        """Close connections that are idle, or slow to send a head, for too long."""
+        """Close connections that are idle, or sending a request head, for too long."""
         now = self.clock()
         limits = self.limits()
         for conn in list(self.connections):
-            conn.check_times(now, limits)
+            conn.check_timeouts(now, limits)
 
 
 class CallerConnection(asyncio.Protocol):
-    """Reads a caller's requests one after the other and writes their answers.
+    """Reads a caller's requests one after the other and writes their responses.
 
     Attributes
     ----------
     begun : bool
-        Whether the present answer's head has been written.
+        Whether the head of the current response has been written.
     """
 
-    def __init__(self, front: Front):
-        self._front = front
+    def __init__(self, endpoint: CallerEndpoint):
+        self._endpoint = endpoint
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._ahead: deque[CallerRequest] = deque()
+        self._pipelined: deque[CallerRequest] = deque()
         self._task: asyncio.Task | None = None
-        self._idle_since = front.clock()
-        self._place: int | None = None
+        self._idle_since = endpoint.clock()
+        self._early_position: int | None = None
         self._reading_since: float | None = None
         self._in_headers = False
         self._head_bytes = 0
@@ -82,32 +82,32 @@
         self._writable = asyncio.Event()
         self._writable.set()
         self._chunked = False
-        self._keep = True
+        self._keep_alive = True
         self._http10 = False
-        self._refused = False
+        self._rejected = False
         self.begun = False
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # noqa: D102
         self._transport = transport
-        self._front.connections.add(self)
-        early = self._front.early
-        if early is not None:
-            self._place = early.take(self._front.clock())
+        self._endpoint.connections.add(self)
+        early_callers = self._endpoint.early_callers
+        if early_callers is not None:
+            self._early_position = early_callers.assign_position(self._endpoint.clock())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up what the caller no longer waits for."""
-        self._front.connections.discard(self)
+        """Cancel the request that the caller no longer waits for."""
+        self._endpoint.connections.discard(self)
         self._writable.set()
         if self._task:
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """Take the caller's end for its leaving: its work ends at once.
+        """Cancel the current request: the caller has disconnected.
 
-        Callers do not half-close; waiting for the reset that the next write brings
-        would keep a server at work for nobody.
+        Callers do not half-close a connection. Waiting for the reset that follows the
+        next write would keep a server working on a response that nobody reads.
         """
         if self._task:
             self._task.cancel()
@@ -120,39 +120,39 @@
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; what is no request is answered 400 and ends it."""
-        if self._refused:
+        """Parse received bytes; answer 400 and close if they are no HTTP request."""
+        if self._rejected:
             return
         if self._reading_since is None:
-            self._reading_since = self._front.clock()
+            self._reading_since = self._endpoint.clock()
             self._in_headers = True
         if self._in_headers:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(400, "UpgradeNotOffered")
+            self._reject(400, "UpgradeNotOffered")
         except httptools.HttpParserError:
-            self._refuse(400, "MalformedRequest")
-        if self._in_headers and self._head_bytes > self._front.limits().header_bytes:
-            self._refuse(431, "HeadersTooLarge")
+            self._reject(400, "MalformedRequest")
+        if self._in_headers and self._head_bytes > self._endpoint.limits().header_bytes:
+            self._reject(431, "HeadersTooLarge")
 
     # Callbacks of the parser
 
     def on_message_begin(self) -> None:  # noqa: D102
         self._headers: list[tuple[bytes, bytes]] = []
         self._target = b""
-        self._parts: list[bytes] = []
+        self._body_parts: list[bytes] = []
         self._body_bytes = 0
         self._in_headers = True
         if self._reading_since is None:
-            self._reading_since = self._front.clock()
+            self._reading_since = self._endpoint.clock()
 
     def on_url(self, url: bytes) -> None:  # noqa: D102
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:  # noqa: D102
-        # Trailers come after the head; nothing here has a use for them.
+        # Ignores trailers, which come after the head: they are not used.
         if self._in_headers:
             self._headers.append((name, value))
 
@@ -160,54 +160,60 @@
         self._in_headers = False
         self._head_bytes = 0
         size = sum(len(name) + len(value) + 4 for name, value in self._headers)
-        limits = self._front.limits()
+        limits = self._endpoint.limits()
         if size + len(self._target) > limits.header_bytes:
-            self._refuse(431, "HeadersTooLarge")
+            self._reject(431, "HeadersTooLarge")
             return
         length = header_of(self._headers, b"content-length")
         if length.isdigit() and int(length) > limits.body_bytes:
-            self._refuse(413, "BodyTooLarge")
+            self._reject(413, "BodyTooLarge")
             return
-        waits = header_of(self._headers, b"expect").lower() == b"100-continue"
-        if waits and self._task is None:
+        expects_continue = (
+            header_of(self._headers, b"expect").lower() == b"100-continue"
+        )
+        if expects_continue and self._task is None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:  # noqa: D102
         self._body_bytes += len(data)
-        if self._body_bytes > self._front.limits().body_bytes:
-            self._refuse(413, "BodyTooLarge")
+        if self._body_bytes > self._endpoint.limits().body_bytes:
+            self._reject(413, "BodyTooLarge")
             return
-        self._parts.append(data)
+        self._body_parts.append(data)
 
     def on_message_complete(self) -> None:  # noqa: D102
-        if self._refused:
+        if self._rejected:
             return
         req = CallerRequest(
             method=self._parser.get_method(),
             target=self._target,
             headers=self._headers,
-            head=self._front.wire.read_request(self._headers),
-            arrived=self._arrived(),
+            head=self._endpoint.wire.read_request(self._headers),
+            arrived=self._arrival_time(),
             keep_alive=self._parser.should_keep_alive(),
             http10=self._parser.get_http_version() == "1.0",
-            body=b"".join(self._parts),
+            body=b"".join(self._body_parts),
         )
         self._reading_since = None
-        self._parts = []
-        self._ahead.append(req)
+        self._body_parts = []
+        self._pipelined.append(req)
         if self._task is None:
             self._serve_next()
-        elif len(self._ahead) >= MOST_AHEAD:
+        elif len(self._pipelined) >= MAX_PIPELINED_REQUESTS:
             self._transport.pause_reading()
 
-    def _arrived(self) -> float:
-        """When the present request came, also when nothing could read it then."""
-        if self._place is None:
+    def _arrival_time(self) -> float:
+        """Return when the current request came, even if the process could not read it.
+
+        The first request of a caller that connected while the process was starting
+        arrived before it could be read.
+        """
+        if self._early_position is None:
             return self._reading_since
-        place, self._place = self._place, None
-        return self._front.early.arrived(place)
+        position, self._early_position = self._early_position, None
+        return self._endpoint.early_callers.arrival_time(position)
 
-    # What answers the present request
+    # Methods that answer the current request
 
     def write_head(
         self,
@@ -216,26 +222,26 @@
         length: int | None,
         last: bool = False,
     ) -> None:
-        """Write the head of the present answer; without a length it is in chunks."""
+        """Write the head of the current response, chunked if its length is None."""
         self.begun = True
-        self._keep = self._keep and not last and not self._front.closing
-        lines = [b"HTTP/1.1 %d %s" % (status, _reason(status))]
+        self._keep_alive = self._keep_alive and not last and not self._endpoint.draining
+        lines = [b"HTTP/1.1 %d %s" % (status, _reason_phrase(status))]
         lines += [name + b": " + value for name, value in headers]
         self._chunked = False
         if length is not None:
-            if status not in _BODYLESS:
+            if status not in _BODYLESS_STATUSES:
                 lines.append(b"Content-Length: %d" % length)
         elif self._http10:
-            self._keep = False
+            self._keep_alive = False
         else:
             self._chunked = True
             lines.append(b"Transfer-Encoding: chunked")
-        if not self._keep:
+        if not self._keep_alive:
             lines.append(b"Connection: close")
         self._transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
     async def write_body(self, data: bytes) -> None:
-        """Write a part of the body, and wait while the caller does not read."""
+        """Write a part of the body, and wait while the caller's buffers are full."""
         if not data:
             return
         if self._chunked:
@@ -245,37 +251,40 @@
             await self._writable.wait()
 
     def end(self) -> None:
-        """End the present answer as complete."""
+        """End the current response as complete."""
         if self._chunked:
             self._transport.write(b"0\r\n\r\n")
 
     def break_off(self) -> None:
-        """Close in the middle of an answer, so that it does not look complete."""
-        self._keep = False
+        """Close in the middle of a response, so that it does not look complete."""
+        self._keep_alive = False
         self._transport.close()
 
-    def check_times(self, now: float, limits: CallerLimits) -> None:
+    def check_timeouts(self, now: float, limits: CallerLimits) -> None:
         """Close the connection if it is idle, or its head incomplete, too long."""
         if self._task is not None:
             return
         if self._reading_since is not None:
             if self._in_headers and now - self._reading_since > limits.header_seconds:
-                self._refuse(408, "HeadersTooSlow")
+                self._reject(408, "HeadersTooSlow")
             return
         idle = now - self._idle_since
-        if self._front.closing or idle > limits.idle_seconds + IDLE_SLACK_SECONDS:
+        if self._endpoint.draining or idle > limits.idle_seconds + IDLE_GRACE_SECONDS:
             self._transport.close()
 
     def has_left(self) -> bool:
-        """Whether the caller has closed, also when this loop has not come to it yet.
+        """Whether the caller has closed, even if the loop has not processed it yet.
 
-        A loop that is behind runs its timers before it reads: a server that fell
-        silent would be replaced for a caller that left a second ago.
+        A loop that is behind runs its timers before it reads. The timer for an
+        unresponsive server would start a hedged request for a caller that disconnected
+        a second ago.
         """
         if self._transport.is_closing():
             return True
         poll = select.poll()
-        poll.register(self._transport.get_extra_info("socket").fileno(), _CLOSED)
+        poll.register(
+            self._transport.get_extra_info("socket").fileno(), _CLOSED_POLL_EVENTS
+        )
         return bool(poll.poll(0))
 
     @property
@@ -284,21 +293,21 @@
         return self._task is not None or self._reading_since is not None
 
     def _serve_next(self) -> None:
-        req = self._ahead.popleft()
+        req = self._pipelined.popleft()
         self._transport.resume_reading()
         self.begun = False
-        self._keep = req.keep_alive
+        self._keep_alive = req.keep_alive
         self._http10 = req.http10
-        self._task = asyncio.create_task(self._front.serve(req, self))
-        self._task.add_done_callback(self._served)
+        self._task = asyncio.create_task(self._endpoint.serve(req, self))
+        self._task.add_done_callback(self._on_served)
 
-    def _served(self, task: asyncio.Task) -> None:
+    def _on_served(self, task: asyncio.Task) -> None:
         self._task = None
-        self._idle_since = self._front.clock()
+        self._idle_since = self._endpoint.clock()
         failed = task.cancelled() or task.exception() is not None
-        if failed or not self._keep:
+        if failed or not self._keep_alive:
             self._transport.close()
-        elif self._ahead:
+        elif self._pipelined:
             self._serve_next()
         if not task.cancelled() and task.exception() is not None:
             loop = task.get_loop()
@@ -306,21 +315,21 @@
                 {"message": "a request's task failed", "exception": task.exception()}
             )
 
-    def _refuse(self, status: int, kind: str) -> None:
-        """Answer what cannot be served as it is, and close."""
-        if self._refused:
+    def _reject(self, status: int, kind: str) -> None:
+        """Answer a request that cannot be served with an error, and close."""
+        if self._rejected:
             return
-        self._refused = True
+        self._rejected = True
         if self._task is None and not self._transport.is_closing():
             body = b'{"error":"%s"}' % kind.encode()
-            self._keep = False
+            self._keep_alive = False
             headers = [(b"Content-Type", b"application/json")]
             self.write_head(status, headers, len(body))
             self._transport.write(body)
         self._transport.close()
 
 
-def _reason(status: int) -> bytes:
+def _reason_phrase(status: int) -> bytes:
     try:
         return HTTPStatus(status).phrase.encode()
     except ValueError:
--- a/packages/wasabideck_forward/wasabideck_forward/early_callers.py
+++ b/packages/wasabideck_forward/wasabideck_forward/early_callers.py
@@ -1,4 +1,4 @@
-"""Callers whose connections waited while a process started, and how long they did."""
+"""Callers that connected while the process was starting, and how long they waited."""
 
 from __future__ import annotations
 
@@ -6,36 +6,39 @@
 
 __all__ = ["EarlyCallers"]
 
-# The loop takes all connections that wait within so long (seconds).
-TAKEN_SECONDS = 0.05
+# Time within which the event loop accepts all connections that wait in the backlog.
+ACCEPT_BACKLOG_SECONDS = 0.05
 
 
 @define
 class EarlyCallers:
-    """Connections that were made before anything could take them.
+    """Connections that were made before the process could accept any.
 
-    The kernel hands them out in the order in which they were made, and says nothing of
-    when: they are supposed to have come evenly. Counted from when they were read, they
-    would pass for requests that just came, and would be sent ahead of those.
+    The kernel returns them in the order in which they were made, without the times:
+    they are assumed to be evenly distributed. If their requests counted from when they
+    were read, they would be taken for new requests and sent ahead of those that are.
 
     Attributes
     ----------
-    since, opened : float
-        From when on connections could be made, and could be taken, seconds.
+    listening_since, accepting_since : float
+        When connections could first be made, and first be accepted, in seconds.
     """
 
-    since: float
-    opened: float
+    listening_since: float
+    accepting_since: float
     _count: int = 0
 
-    def take(self, now: float) -> int | None:
-        """Place of one more connection among those that waited; None for others."""
-        if now - self.opened > TAKEN_SECONDS:
+    def assign_position(self, now: float) -> int | None:
+        """Return a new connection's position among those that waited.
+
+        Return None for a connection that did not wait.
+        """
+        if now - self.accepting_since > ACCEPT_BACKLOG_SECONDS:
             return None
         self._count += 1
         return self._count
 
-    def arrived(self, place: int) -> float:
-        """When the request on the connection of that place came, seconds."""
-        waited = self.opened - self.since
-        return self.since + waited * place / (self._count + 1)
+    def arrival_time(self, position: int) -> float:
+        """Return when the request on the connection at a position came, in seconds."""
+        waited = self.accepting_since - self.listening_since
+        return self.listening_since + waited * position / (self._count + 1)
--- a/packages/wasabideck_forward/wasabideck_forward/entry_process.py
+++ b/packages/wasabideck_forward/wasabideck_forward/entry_process.py
@@ -1,4 +1,4 @@
-"""The entry on a node: callers' requests straight to backend servers."""
+"""The entry process of a VM: forwards callers' requests directly to backend servers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from wasabideck_policy.engine_news import EngineNews
 from wasabideck_policy.membership import ENTRY
 
-from .caller_connection import CallerConnection, Front
+from .caller_connection import CallerConnection, CallerEndpoint
 from .crash_watch import CrashWatch
 from .dispatch import Bounds, Dispatch
 from .early_callers import EarlyCallers
@@ -24,38 +24,45 @@
 
 __all__ = ["run_entry"]
 
-SWEEP_SECONDS = 0.5
-# A request begins 0.1 to 0.3 s after it was sent where nothing waits before it: the
-# batch's present pass, and reading its prompt. From so much before the time of older
-# weights is over, with what follows, requests go to newer ones only (seconds).
-VERSION_MARGIN = 0.45
-# So much before that time what has not begun is taken back: the look for it comes every
-# 0.05 s, up to 0.1 s late on a busy VM, and the server has to see the close (seconds).
-BEGIN_MARGIN = 0.2
-# What is sent to older weights may wait in the server's queue until that moment: from
-# so much before it on it is made sure that it can be taken back. Callers leave after
-# 2.4 s, and what waits for them goes with them (seconds).
-QUEUE_MARGIN = 3.1
-# What would be taken back has waited in vain, with one try less: from so much before it
-# on only servers with a free place get any (seconds).
-FULL_MARGIN = 1.6
-# After the signal to stop the balancer needs two checks, a second apart, to notice;
-# until then new connections are still taken (seconds).
-NOTICED_SECONDS = 3.0
-# What is left of the time for stopping when the last connections are closed: on a slow
-# VM the end of all loops took over half a second, and the process was killed (seconds).
-CLOSING_SECONDS = 1.3
+SWEEP_INTERVAL_SECONDS = 0.5
+
+# The margins below are subtracted from the time after which servers may no longer start
+# requests on weights older than a newly declared version.
+
+# Requests go only to newer weights from this margin on. If no other request is queued
+# before it, a request starts 0.1 to 0.3 s after it was sent: the batch finishes its
+# current pass and the server reads the prompt. START_MARGIN_SECONDS is added to that.
+SEND_MARGIN_SECONDS = 0.45
+# Requests that have not started are recalled from this margin on. The check for them
+# runs every 0.05 s, up to 0.1 s late on a busy VM, and the server has to notice that
+# the connection was closed.
+START_MARGIN_SECONDS = 0.2
+# A request that is sent to older weights may wait in the server's queue until the time
+# expires. From this margin on, an entry sends one only if it can be recalled. Callers
+# disconnect after 2.4 s, and their queued requests end with them.
+QUEUE_MARGIN_SECONDS = 3.1
+# From this margin on, only servers with a free slot get requests for older weights. A
+# request that has to be recalled has waited in vain and has one attempt less.
+FULL_SERVER_MARGIN_SECONDS = 1.6
+
+# After the stop signal, the load balancer needs two checks, one second apart, to notice
+# that the entry is shutting down. New connections are accepted until then.
+BALANCER_NOTICE_SECONDS = 3.0
+# Part of the time for shutting down that remains once the last connections are closed.
+# On a slow VM, stopping all loops took over 0.5 s, and the process was killed.
+SHUTDOWN_RESERVE_SECONDS = 1.3
 
 
 async def run_entry(
     cfg: NodeSettings, deployment: Deployment, listener: EarlyListener | None = None
 ) -> None:
-    """Run an entry until it is told to stop, and has answered what it had read.
+    """Run an entry until it is told to stop and has answered all requests it had read.
 
     Parameters
     ----------
     listener : EarlyListener or None
-        Listens for callers already; None to listen at the address of the settings.
+        Socket that already listens for callers; None to listen at the address in the
+        settings.
     """
     async with node_process(cfg, ENTRY, deployment, lambda process: ()) as process:
         entry = _assemble(process, deployment)
@@ -64,63 +71,64 @@
 
 @define
 class _Entry:
-    """The listeners of one entry, and its forwarder."""
+    """The endpoints of one entry, and its forwarder."""
 
     process: NodeProcess
-    front: Front
-    ready: Front
+    callers: CallerEndpoint
+    readiness: CallerEndpoint
     forwarder: Forwarder
 
     async def serve(self, listener: EarlyListener) -> None:
-        """Take callers from a listener until the signal to stop, then finish."""
+        """Accept callers on a listener until the stop signal, then drain."""
         loop = asyncio.get_running_loop()
         cfg = self.process.cfg
-        self.front.early = EarlyCallers(listener.since, self.process.clock())
-        listeners = [
-            await _listen(self.front, listener),
-            await _listen(self.ready, EarlyListener(cfg.ready)),
+        self.callers.early_callers = EarlyCallers(listener.since, self.process.clock())
+        servers = [
+            await _create_server(self.callers, listener),
+            await _create_server(self.readiness, EarlyListener(cfg.ready)),
         ]
-        news, _ = await loop.create_datagram_endpoint(
-            lambda: EngineNewsListener(self._hear), local_addr=(cfg.ip, cfg.inner_port)
+        report_transport, _ = await loop.create_datagram_endpoint(
+            lambda: EngineNewsListener(self._apply_report),
+            local_addr=(cfg.ip, cfg.inner_port),
         )
-        steps = (self._keep_sweeping(), self.forwarder.keep_taking_back())
-        sweeping = [self.process.keep(step) for step in steps]
+        loops = (self._run_sweeps(), self.forwarder.keep_taking_back())
+        tasks = [self.process.keep(coro) for coro in loops]
         await self.process.stop.wait()
-        await self._finish(listeners[0])
-        for task in sweeping:
+        await self._drain(servers[0])
+        for task in tasks:
             task.cancel()
-        news.close()
-        for listener in listeners:
-            listener.close()
+        report_transport.close()
+        for server in servers:
+            server.close()
 
-    def _hear(self, news: EngineNews) -> None:
+    def _apply_report(self, report: EngineNews) -> None:
         backends = self.process.believer.beliefs.backends
-        backend = backends.at(news.address)
+        backend = backends.at(report.address)
         if backend is not None:
-            backend.hear(news, self.process.clock())
+            backend.hear(report, self.process.clock())
             self.forwarder.dispatch.wake()
 
-    async def _keep_sweeping(self) -> None:
+    async def _run_sweeps(self) -> None:
         pool, backends = self.forwarder.pool, self.process.believer.beliefs.backends
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
-            self.front.sweep()
-            self.ready.sweep()
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
+            self.callers.sweep()
+            self.readiness.sweep()
             pool.sweep(backends.names())
 
-    async def _finish(self, listener: asyncio.Server) -> None:
-        """Answer everything that is read before the end."""
+    async def _drain(self, server: asyncio.Server) -> None:
+        """Answer all requests that were read, within the time for shutting down."""
         clock, grace = self.process.clock, self.process.cfg.bounds.grace
-        began = clock()
-        self.front.closing = True
-        self.process.events.emit("process.leaving", open=len(self.front.connections))
-        end = began + grace - CLOSING_SECONDS
-        while clock() < end:
+        started_at = clock()
+        self.callers.draining = True
+        self.process.events.emit("process.leaving", open=len(self.callers.connections))
+        deadline = started_at + grace - SHUTDOWN_RESERVE_SECONDS
+        while clock() < deadline:
             await asyncio.sleep(0.05)
-            if clock() - began < NOTICED_SECONDS:
+            if clock() - started_at < BALANCER_NOTICE_SECONDS:
                 continue
-            listener.close()
-            if not any(conn.busy for conn in self.front.connections):
+            server.close()
+            if not any(conn.busy for conn in self.callers.connections):
                 return
 
 
@@ -136,22 +144,26 @@
         CrashWatch(quarantine, process.events, process.events.wall),
     )
     pool = ServerPool(deployment.wire, process.clock)
-    dispatch.kept = pool.kept
+    dispatch.kept = pool.idle_servers
     forwarder = Forwarder(pool, deployment.wire, process.events, dispatch)
     process.on_reload.append(lambda cfg: dispatch.set_bounds(_bounds(cfg)))
 
-    def limits() -> CallerLimits:
-        known = beliefs.configuration
-        return known.limits if known else CallerLimits()
+    def current_limits() -> CallerLimits:
+        configuration = beliefs.configuration
+        return configuration.limits if configuration else CallerLimits()
 
-    front = Front(deployment.wire, process.clock, limits, forwarder.serve, set())
+    callers = CallerEndpoint(
+        deployment.wire, process.clock, current_limits, forwarder.serve, set()
+    )
 
     async def answer_check(req: CallerRequest, caller: CallerConnection) -> None:
-        good = beliefs.ready and not front.closing
-        caller.write_head(200 if good else 503, (), 0)
+        is_ready = beliefs.ready and not callers.draining
+        caller.write_head(200 if is_ready else 503, (), 0)
 
-    ready = Front(deployment.wire, process.clock, limits, answer_check, set())
-    return _Entry(process, front, ready, forwarder)
+    readiness = CallerEndpoint(
+        deployment.wire, process.clock, current_limits, answer_check, set()
+    )
+    return _Entry(process, callers, readiness, forwarder)
 
 
 def _bounds(cfg: NodeSettings) -> Bounds:
@@ -159,15 +171,17 @@
         cfg.bounds.retry_ratio,
         cfg.bounds.retry_slack,
         cfg.bounds.retry_window,
-        cfg.bounds.version - VERSION_MARGIN,
-        cfg.bounds.version - BEGIN_MARGIN,
-        cfg.bounds.version - QUEUE_MARGIN,
-        cfg.bounds.version - FULL_MARGIN,
+        cfg.bounds.version - SEND_MARGIN_SECONDS,
+        cfg.bounds.version - START_MARGIN_SECONDS,
+        cfg.bounds.version - QUEUE_MARGIN_SECONDS,
+        cfg.bounds.version - FULL_SERVER_MARGIN_SECONDS,
     )
 
 
-async def _listen(front: Front, listener: EarlyListener) -> asyncio.Server:
+async def _create_server(
+    endpoint: CallerEndpoint, listener: EarlyListener
+) -> asyncio.Server:
     loop = asyncio.get_running_loop()
     return await loop.create_server(
-        lambda: CallerConnection(front), sock=listener.sock, backlog=BACKLOG
+        lambda: CallerConnection(endpoint), sock=listener.sock, backlog=BACKLOG
     )
--- a/packages/wasabideck_forward/wasabideck_forward/event_stream.py
+++ b/packages/wasabideck_forward/wasabideck_forward/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events of a stream, out of pieces that end anywhere."""
+"""Splits a stream, received in parts of any size, into complete events."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 __all__ = ["Event", "EventSplitter", "EventTooLong"]
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
-# An event holds a few tokens. One without end would fill this process's memory, and
-# its caller would see none of it.
-MOST_EVENT_BYTES = 64 * 1024
+_EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
+# An event holds a few tokens. An event that never ends would fill the memory of this
+# process, and its caller would receive none of it.
+MAX_EVENT_BYTES = 64 * 1024
 
 
 class EventTooLong(WasabideckError):
-    """A stream's bytes go on and on without the end of an event."""
+    """A stream continues for too many bytes without the end of an event."""
 
     status = 502
 
 
 @frozen
 class Event:
-    """One whole event: its bytes as they came, and its id (empty if none)."""
+    """One complete event: its bytes as received, and its id (empty if it has none)."""
 
     data: bytes
     event_id: bytes
@@ -29,47 +29,50 @@
 
 @define
 class EventSplitter:
-    """Cuts a stream's bytes into events, and keeps what is not whole yet.
+    """Splits the bytes of a stream into events, and buffers an incomplete one.
 
-    A server may stop in the middle of an event. Only whole events may go on to the
-    caller, or another server's events would be joined to half of one.
+    A server may stop in the middle of an event. Only complete events may be forwarded
+    to the caller: otherwise the events of another server would be appended to a part
+    of one.
     """
 
-    _rest: bytes = b""
+    _buffer: bytes = b""
     last_id: bytes = field(default=b"")
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that are whole now; raises ``EventTooLong``."""
-        self._rest += data
+        """Return the events that are complete now; raise ``EventTooLong``."""
+        self._buffer += data
         events = []
-        while (end := self._end()) >= 0:
-            whole, self._rest = self._rest[:end], self._rest[end:]
-            event = Event(whole, _id_of(whole))
+        while (end := self._find_event_end()) >= 0:
+            complete, self._buffer = self._buffer[:end], self._buffer[end:]
+            event = Event(complete, _parse_id(complete))
             self.last_id = event.event_id or self.last_id
             events.append(event)
-        if len(self._rest) > MOST_EVENT_BYTES:
-            raise EventTooLong(f"{len(self._rest)} bytes of an event without its end")
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise EventTooLong(f"{len(self._buffer)} bytes without the end of an event")
         return events
 
     @property
     def partial(self) -> bytes:
-        """Bytes of an event that is not whole yet."""
-        return self._rest
+        """Bytes of an event that is not complete yet."""
+        return self._buffer
 
     def restart(self) -> None:
-        """Drop half an event: another server begins it anew."""
-        self._rest = b""
+        """Discard an incomplete event: another server sends it from its start."""
+        self._buffer = b""
 
-    def _end(self) -> int:
-        """Place behind the first whole event; -1 when there is none."""
+    def _find_event_end(self) -> int:
+        """Return the index after the first complete event, or -1 if there is none."""
         ends = (
-            (self._rest.find(mark), len(mark)) for mark in _ENDS if mark in self._rest
+            (self._buffer.find(mark), len(mark))
+            for mark in _EVENT_TERMINATORS
+            if mark in self._buffer
         )
         found, size = min(ends, default=(-1, 0))
         return found + size if found >= 0 else -1
 
 
-def _id_of(event: bytes) -> bytes:
+def _parse_id(event: bytes) -> bytes:
     for line in event.splitlines():
         if line.startswith(b"id:"):
             return line[3:].strip()
--- a/packages/wasabideck_forward/wasabideck_forward/messages.py
+++ b/packages/wasabideck_forward/wasabideck_forward/messages.py
@@ -1,7 +1,7 @@
-"""What of a request and of an answer matters for forwarding them.
+"""Parts of requests and responses that decide how they are forwarded.
 
-Which headers say it depends on the deployment: an adapter fills these types in, and
-writes the head that a server gets.
+Which headers carry them depends on the deployment. An adapter creates these types from
+headers, and writes the head of a request to a server.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
     "RequestHead",
     "Sending",
     "Wire",
+    "announces_close",
     "header_of",
     "keep_alive_seconds",
-    "names_close",
     "passed_on",
 ]
 
 Headers = Sequence[tuple[bytes, bytes]]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), and those that
-# this proxy writes anew.
-_HOP = frozenset(
+# Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that this proxy writes
+# itself.
+_NOT_FORWARDED = frozenset(
     (
         b"connection",
         b"content-length",
@@ -47,7 +47,7 @@
 
 @frozen
 class Load:
-    """Requests that a server runs, that wait there, and how many it runs at once."""
+    """Running and queued requests of a server, and the most that it runs at once."""
 
     running: int
     waiting: int
@@ -56,22 +56,22 @@
 
 @frozen
 class RequestHead:
-    """A caller's request, as far as its headers decide how it is handled.
+    """Values from a request's headers that decide how it is handled.
 
     Attributes
     ----------
     request : str
-        Name of this try of the caller.
+        Id of the request; each retry of the caller has its own.
     deadline : float or None
-        Seconds that the caller will wait.
+        Seconds that the caller waits.
     key : str
-        The caller's key; empty when there is none.
+        The caller's key; empty if there is none.
     model : str
-        The model asked for; empty for plain services.
+        The requested model; empty for plain services.
     prompt, answer : int
-        Tokens of the prompt, and the most that are to be written.
+        Tokens of the prompt, and the maximum tokens of the response.
     last_event : bytes
-        Name of the last event that the caller has of a broken stream.
+        Id of the last event that the caller received of an aborted stream.
     """
 
     request: str
@@ -86,12 +86,12 @@
 
 @define(eq=False)
 class CallerRequest:
-    """A whole request as it was read.
+    """A complete request as it was read.
 
     Attributes
     ----------
     arrived : float
-        When its first byte was read, seconds.
+        When its first byte was received, in seconds.
     """
 
     method: bytes
@@ -105,20 +105,20 @@
 
     @property
     def path(self) -> str:
-        """The path alone, without the query."""
+        """The path without the query."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
 @frozen
 class Sending:
-    """What a request is sent to a server with, beside what the caller sent.
+    """Values that are sent to a server in addition to the caller's request.
 
     Attributes
     ----------
     server : str
-        The server that is meant; any other refuses.
+        The server that the request is for; any other server refuses it.
     left : float or None
-        Seconds left for it.
+        Seconds left until the deadline.
     version : int
         The only version of weights that may run it; 0 for any.
     """
@@ -133,20 +133,20 @@
 
 @frozen
 class AnswerHead:
-    """A server's answer, as far as its headers decide what is done with it.
+    """Values from a response's headers that decide how it is handled.
 
     Attributes
     ----------
     request : str
-        The request that it answers; empty when not said.
+        Id of the request that it answers; empty if unknown.
     refused : bool
-        The server says that it has not run the request and will not.
+        Whether the server has not run the request and never will.
     other_server : bool
-        The address is another server's by now.
+        Whether the address now belongs to another server.
     version : int
-        Version of the weights that made it; 0 when not said.
+        Version of the weights that produced it; 0 if unknown.
     at_fault : str
-        Address of another server that made the request fail.
+        Address of another server that caused the request to fail.
     """
 
     status: int
@@ -161,50 +161,53 @@
 
 @frozen
 class Wire:
-    """How heads are read and written on a deployment.
+    """Functions that parse and write heads in the format of a deployment.
 
     Attributes
     ----------
     read_request : callable
-        ``RequestHead`` of a request's headers.
+        Returns the ``RequestHead`` of a request's headers.
     write_request : callable
-        Bytes of the head that a server gets.
+        Returns the bytes of the head that is sent to a server.
     read_answer : callable
-        ``AnswerHead`` of a status and headers.
+        Returns the ``AnswerHead`` of a status and headers.
     """
 
     read_request: Callable[[Headers], RequestHead]
     write_request: Callable[[CallerRequest, Sending], bytes]
     read_answer: Callable[[int, Headers], AnswerHead]
-    most_left: float = field(default=3600.0)
+    max_seconds_left: float = field(default=3600.0)
 
 
 def header_of(headers: Headers, name: bytes) -> bytes:
-    """Value of the first header of a name in lower case; empty when there is none."""
-    for found, value in headers:
-        if found.lower() == name:
+    """Return the value of the first header with a name, or empty bytes.
+
+    The name is passed in lower case.
+    """
+    for header, value in headers:
+        if header.lower() == name:
             return value
     return b""
 
 
 def passed_on(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Headers that go on to the other side; those of one connection do not."""
-    named = header_of(headers, b"connection").lower()
-    dropped = {token.strip() for token in named.split(b",")} if named else ()
+    """Return the headers that are forwarded, without the hop-by-hop headers."""
+    options = header_of(headers, b"connection").lower()
+    dropped = {option.strip() for option in options.split(b",")} if options else ()
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in _HOP and name.lower() not in dropped
+        if name.lower() not in _NOT_FORWARDED and name.lower() not in dropped
     ]
 
 
-def names_close(headers: Headers) -> bool:
+def announces_close(headers: Headers) -> bool:
     """Whether the sender closes the connection after this message."""
     return b"close" in header_of(headers, b"connection").lower()
 
 
 def keep_alive_seconds(headers: Headers) -> float | None:
-    """How long the sender keeps an idle connection, seconds; None when not said."""
+    """Return how long the sender keeps an idle connection; None if it does not say."""
     for part in header_of(headers, b"keep-alive").split(b","):
         name, _, value = part.partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit():
--- a/packages/wasabideck_forward/wasabideck_forward/server_connection.py
+++ b/packages/wasabideck_forward/wasabideck_forward/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, with one request on it at a time."""
+"""Connection to a backend server that carries one request at a time."""
 
 from __future__ import annotations
 
@@ -10,24 +10,27 @@
 import httptools
 from wasabideck_policy.outcomes import WasabideckError
 
-from .messages import AnswerHead, Wire, keep_alive_seconds, names_close
+from .messages import AnswerHead, Wire, announces_close, keep_alive_seconds
 
 __all__ = ["Answer", "AnswerBroken", "LeaveAsked", "ServerConnection"]
 
-# A connection whose peer acknowledges nothing for so long is dead (milliseconds); a
-# partition would otherwise keep it for many minutes.
+# A connection whose peer acknowledges no data within this time is closed. Without it, a
+# network partition would keep the connection open for many minutes.
 USER_TIMEOUT_MS = 3000
-# Answers to earlier requests that may come first before the connection is given up.
-MOST_FOREIGN = 2
-# An answer's bytes that wait for a slow caller before the server is made to wait.
-MOST_WAITING_BYTES = 256 * 1024
-# Bytes that may come before an answer's head is there: its own, of interim answers, and
-# of answers to earlier requests. A server in trouble may send them without end.
-MOST_BYTES_BEFORE = 256 * 1024
+# Maximum responses to earlier requests that may precede the response to the current
+# one. The connection is closed after more of them.
+MAX_STALE_RESPONSES = 2
+# Maximum bytes of a response that are buffered for a slow caller before reading from
+# the server is paused.
+MAX_BUFFERED_BYTES = 256 * 1024
+# Maximum bytes received before the head of a response is complete: bytes of the head,
+# of interim responses and of responses to earlier requests. A faulty server may send
+# them without end.
+MAX_BYTES_BEFORE_HEAD = 256 * 1024
 
 
 class AnswerBroken(WasabideckError):
-    """The connection ended or went wrong before the whole answer was there.
+    """The connection was lost or a protocol error occurred before the response ended.
 
     Attributes
     ----------
@@ -43,22 +46,22 @@
 
 
 class LeaveAsked(Exception):
-    """The server should be left once another one has taken over."""
+    """The request should move to another server, and leave this one after that."""
 
 
 class Answer:
-    """A server's answer while it comes in.
+    """A server's response while it is received.
 
     Attributes
     ----------
     head : AnswerHead or None
-        There once the headers have come.
+        The head, once the headers are complete.
     begun : bool
-        Bytes of the body have come: the server has begun the request.
+        Whether bytes of the body were received: the server has started the request.
     ended : bool
-        The whole answer has come.
+        Whether the whole response was received.
     failure : WasabideckError or None
-        Why nothing more comes.
+        Why no more data will be received.
     """
 
     def __init__(self, request: str, bodyless: bool):
@@ -69,13 +72,13 @@
         self.ended = False
         self.failure: WasabideckError | None = None
         self._parts: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._buffered_bytes = 0
         self._waiter: asyncio.Future | None = None
         self._leave_asked = False
-        self.resume: Callable[[], None] = lambda: None
+        self.resume_reading: Callable[[], None] = lambda: None
 
     async def headers(self) -> AnswerHead:
-        """The head, as soon as it is there; raises what ``fail`` was given."""
+        """Wait for the head and return it; raise the failure passed to ``fail``."""
         while self.head is None:
             if self.failure:
                 raise self.failure
@@ -83,63 +86,66 @@
         return self.head
 
     async def read(self) -> bytes:
-        """The next bytes of the body, empty at its end.
+        """Return the next bytes of the body, or empty bytes at its end.
 
-        Raises what ``fail`` was given, and ``LeaveAsked`` once after ``ask_to_leave``.
+        Raises the failure passed to ``fail``, and ``LeaveAsked`` once after
+        ``ask_to_leave``.
         """
         while not self._parts:
-            # First of all: what comes after a failure is dropped, its end is no end.
+            # Checks the failure before the end: data received after a failure is
+            # discarded, so its end is not the end of a complete response.
             if self.failure:
                 raise self.failure
             if self.ended:
                 return b""
             if self._leave_asked:
                 self._leave_asked = False
-                raise LeaveAsked("it stops")
+                raise LeaveAsked("the server is shutting down")
             await self._wait()
         data = b"".join(self._parts)
         self._parts.clear()
-        self._waiting_bytes = 0
-        self.resume()
+        self._buffered_bytes = 0
+        self.resume_reading()
         return data
 
     def add(self, data: bytes) -> bool:
-        """Take in bytes of the body; whether there is room for more."""
+        """Append bytes of the body, and return whether more may be buffered."""
         if self.failure:
-            # Its end is decided, and nobody is to take it for begun after that.
+            # The outcome is decided: the request must not count as started after it.
             return True
         self.begun = True
         self._parts.append(data)
-        self._waiting_bytes += len(data)
+        self._buffered_bytes += len(data)
         self.wake()
-        return self._waiting_bytes < MOST_WAITING_BYTES
+        return self._buffered_bytes < MAX_BUFFERED_BYTES
 
     async def arrived(self, enough: Callable[[bytes], bool]) -> bytes:
-        """What ``read`` would give, left there, once it is enough; raises as it does.
+        """Wait for enough bytes, and return them without removing them from the buffer.
 
-        It need not be enough where the body ends, or there is no room for more.
+        Returns fewer bytes if the body ends or the buffer is full. Raises the failure
+        passed to ``fail``.
         """
         while not enough(data := b"".join(self._parts)):
             if self.failure:
                 raise self.failure
-            if self.ended or self._waiting_bytes >= MOST_WAITING_BYTES:
+            if self.ended or self._buffered_bytes >= MAX_BUFFERED_BYTES:
                 break
             await self._wait()
         return data
 
     def ask_to_leave(self) -> None:
-        """Have the reader look for another server, while this one goes on."""
+        """Tell the reader to find another server, while this one continues."""
         self._leave_asked = True
         self.wake()
 
     def fail(self, failure: WasabideckError) -> None:
-        """Note that nothing more will come, and why."""
+        """Record that no more data will be received, and why."""
         if not self.ended and self.failure is None:
             self.failure = failure
             self.wake()
 
     def wake(self) -> None:
-        """Wake whoever waits for this answer."""
+        """Wake the task that waits for this response."""
         if self._waiter and not self._waiter.done():
             self._waiter.set_result(None)
 
@@ -149,42 +155,45 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection to one server; whoever takes it has it alone.
+    """A connection to one server, used by one request at a time.
 
     Attributes
     ----------
-    used_at : float
-        When it was last of use, seconds.
-    fresh : bool
+    last_used_at : float
+        When a response last ended on it, or when it was created, in seconds.
+    unused : bool
         Whether no request has been answered on it yet.
     """
 
     def __init__(
-        self, wire: Wire, clock: Callable[[], float], heard: Callable[[float], None]
+        self,
+        wire: Wire,
+        clock: Callable[[], float],
+        record_received: Callable[[float], None],
     ):
         self._wire = wire
         self._clock = clock
-        self._heard = heard
+        self._record_received = record_received
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
         self._answer: Answer | None = None
         self._headers: list[tuple[bytes, bytes]] = []
-        self._skipping = False
-        self._foreign = 0
-        self._bytes_before = 0
-        self._until_close = False
-        self._spoilt = False
-        self._idle_seconds: float | None = None
-        self.used_at = clock()
-        self.fresh = True
+        self._skipping_stale = False
+        self._stale_responses = 0
+        self._bytes_before_head = 0
+        self._body_ends_at_close = False
+        self._not_reusable = False
+        self._idle_timeout_seconds: float | None = None
+        self.last_used_at = clock()
+        self.unused = True
 
-    # What its owner calls.
+    # Methods for the owner of the connection
 
     def send(self, data: bytes, answer: Answer) -> None:
-        """Send a request; its answer comes in through ``answer``."""
+        """Send a request, whose response is added to ``answer``."""
         self._answer = answer
-        self._bytes_before = 0
-        answer.resume = self._resume_reading
+        self._bytes_before_head = 0
+        answer.resume_reading = self._resume_reading
         self._transport.write(data)
 
     @property
@@ -192,61 +201,63 @@
         """Whether another request may be sent on it."""
         return (
             self._answer is None
-            and not self._spoilt
+            and not self._not_reusable
             and self._transport is not None
             and not self._transport.is_closing()
-            # Bytes of a long body that the server answered early are still due.
+            # If the server answered a long request early, a part of its body may
+            # still have to be sent.
             and self._transport.get_write_buffer_size() == 0
         )
 
-    def kept_for(self) -> float | None:
-        """Seconds that the server keeps it when idle; None when not said."""
-        return self._idle_seconds
+    def idle_timeout_seconds(self) -> float | None:
+        """Return how long the server keeps it idle; None if the server did not say."""
+        return self._idle_timeout_seconds
 
     def close(self) -> None:
-        """Close it at once, which also stops the server's work on its request."""
-        self._spoilt = True
+        """Abort it, which also stops the server's work on the current request."""
+        self._not_reusable = True
         if self._transport is not None:
             self._transport.abort()
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Keep the transport, and limit how long a silent peer is believed."""
+        """Set the transport, and the timeout for unacknowledged data."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that nothing was asked for spoil the connection."""
+        """Parse received bytes; close the connection if no request is in progress."""
         answer = self._answer
         if answer is None:
-            # A second answer to the last request. It belongs to nobody, and what
-            # follows it could be taken for the answer to the next request.
+            # A second response to the last request. It belongs to no request, and the
+            # bytes after it could be taken for the response to the next request.
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
-            self._fail(f"no HTTP: {exc}")
+            self._fail(f"invalid HTTP: {exc}")
             return
         if answer.head is not None:
-            self._heard(self._clock())
+            self._record_received(self._clock())
             return
-        # No sign of life: a head that comes in drops would keep its caller waiting.
-        self._bytes_before += len(data)
-        if self._bytes_before > MOST_BYTES_BEFORE:
-            self._fail(f"over {MOST_BYTES_BEFORE} bytes and no head")
+        # Bytes before the complete head are no sign that the server works: a server
+        # that sends its head byte by byte would keep the caller waiting.
+        self._bytes_before_head += len(data)
+        if self._bytes_before_head > MAX_BYTES_BEFORE_HEAD:
+            self._fail(f"over {MAX_BYTES_BEFORE_HEAD} bytes without a complete head")
 
     def eof_received(self) -> bool:
-        """Take the end for the body's end where nothing else says where it is."""
-        if self._until_close and self._answer and not self._skipping:
+        """End a body of unknown length, which ends where the connection ends."""
+        if self._body_ends_at_close and self._answer and not self._skipping_stale:
             self._finish()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the answer that is still due."""
-        self._spoilt = True
+        """Fail the response that is not complete."""
+        self._not_reusable = True
         if self._answer is not None:
             self._fail(f"connection lost: {exc or 'closed by the server'}")
 
@@ -255,7 +266,7 @@
     def on_message_begin(self) -> None:  # noqa: D102
         self._headers = []
         if self._answer is None:
-            self._spoilt = True
+            self._not_reusable = True
 
     def on_header(self, name: bytes, value: bytes) -> None:  # noqa: D102
         self._headers.append((name, value))
@@ -266,22 +277,22 @@
         if answer is None or status < 200:
             return
         head = self._wire.read_answer(status, self._headers)
-        if head.request != answer.request and not self._excused(head):
-            self._skipping = True
+        if head.request != answer.request and not self._accepts_unidentified(head):
+            self._skipping_stale = True
             return
-        self._skipping = False
-        self._idle_seconds = keep_alive_seconds(self._headers)
-        if names_close(self._headers):
-            self._spoilt = True
+        self._skipping_stale = False
+        self._idle_timeout_seconds = keep_alive_seconds(self._headers)
+        if announces_close(self._headers):
+            self._not_reusable = True
         answer.head = head
-        self._until_close = _ends_with_connection(self._headers)
-        self._spoilt = self._spoilt or self._until_close
+        self._body_ends_at_close = _ends_with_connection(self._headers)
+        self._not_reusable = self._not_reusable or self._body_ends_at_close
         answer.wake()
         if answer.bodyless:
             self._finish()
 
     def on_body(self, data: bytes) -> None:  # noqa: D102
-        if self._answer is None or self._skipping:
+        if self._answer is None or self._skipping_stale:
             return
         if not self._answer.add(data):
             self._transport.pause_reading()
@@ -289,30 +300,30 @@
     def on_message_complete(self) -> None:  # noqa: D102
         if self._answer is None or self._parser.get_status_code() < 200:
             return
-        if self._skipping:
-            self._skip()
+        if self._skipping_stale:
+            self._skip_stale()
             return
         self._finish()
 
-    def _excused(self, head: AnswerHead) -> bool:
-        """Whether an answer without a request's name may be taken for this one's.
+    def _accepts_unidentified(self, head: AnswerHead) -> bool:
+        """Whether a response without a request id belongs to the current request.
 
         On a new connection there was no earlier request that it could belong to.
         """
-        return self.fresh and not head.request
+        return self.unused and not head.request
 
-    def _skip(self) -> None:
-        """Pass over a late second answer to an earlier request."""
-        self._skipping = False
-        self._spoilt = True
-        self._foreign += 1
-        if self._foreign > MOST_FOREIGN:
-            self._fail("answers to other requests")
+    def _skip_stale(self) -> None:
+        """Discard a late second response to an earlier request."""
+        self._skipping_stale = False
+        self._not_reusable = True
+        self._stale_responses += 1
+        if self._stale_responses > MAX_STALE_RESPONSES:
+            self._fail("too many responses to other requests")
 
     def _finish(self) -> None:
         answer, self._answer = self._answer, None
-        self.fresh = False
-        self.used_at = self._clock()
+        self.unused = False
+        self.last_used_at = self._clock()
         answer.ended = True
         answer.wake()
 
--- a/packages/wasabideck_forward/wasabideck_forward/server_pool.py
+++ b/packages/wasabideck_forward/wasabideck_forward/server_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to backend servers."""
+"""Pool of idle connections to backend servers."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 
 __all__ = ["ServerPool", "Unreachable"]
 
-# A connection is there within two round trips, 12 ms between regions. A first packet
-# that was dropped comes again after a second, which is too late for most callers.
-CONNECT_SECONDS = 0.3
-# A server closes an idle connection at the end of the whole seconds that it names;
-# a request sent shortly before would cross that.
-KEPT_MARGIN_SECONDS = 1.0
-# How long an idle connection is kept where the server names no time.
-KEPT_SECONDS = 3.0
-# What may run once goes on a connection that was of use just now or is new: a server
-# or something between may have dropped an older one without a word.
-RECENT_SECONDS = 0.3
-MOST_IDLE = 8
+# Connecting takes two round trips, 12 ms between regions. A first packet that was
+# dropped is sent again after a second, which is too late for most callers.
+CONNECT_TIMEOUT_SECONDS = 0.3
+# A server closes an idle connection at the end of the timeout that it announces in
+# whole seconds. A request sent shortly before that would cross the close.
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
+# Maximum time an idle connection is kept, also if the server announces no timeout.
+MAX_IDLE_SECONDS = 3.0
+# A request that may run only once is sent on a new connection or on one that was in use
+# within this time. The server or a middlebox may have dropped an older connection
+# without closing it.
+MAX_IDLE_NON_IDEMPOTENT_SECONDS = 0.3
+MAX_IDLE_CONNECTIONS_PER_SERVER = 8
 
 
 class Unreachable(WasabideckError):
@@ -40,58 +41,63 @@
 
 @define
 class ServerPool:
-    """Idle connections by server, the last used first."""
+    """Idle connections by server; the one used last is used first."""
 
     wire: Wire
     clock: Callable[[], float]
     _idle: dict[str, list[ServerConnection]] = field(factory=dict)
 
     async def take(
-        self, backend: Backend, idempotent: bool, way: float | None = None
+        self,
+        backend: Backend,
+        idempotent: bool,
+        connect_timeout_seconds: float | None = None,
     ) -> ServerConnection:
-        """A connection to a server, kept or new; raises ``Unreachable``.
+        """Return an idle or a new connection to a server; raise ``Unreachable``.
 
         Parameters
         ----------
-        way : float or None
-            Seconds within which a new connection has to be there, for what must not
-            come late: on a kept one nothing shows that the link is full.
+        connect_timeout_seconds : float or None
+            Timeout for a new connection, for a request that must not arrive late. No
+            idle connection is used then: it would not show that the link is full.
         """
-        if way is not None:
-            return await self._connect(backend, way)
+        if connect_timeout_seconds is not None:
+            return await self._connect(backend, connect_timeout_seconds)
         now = self.clock()
-        kept = self._idle.get(backend.server, [])
-        while kept:
-            conn = kept.pop()
-            if not kept:
+        idle = self._idle.get(backend.server, [])
+        while idle:
+            conn = idle.pop()
+            if not idle:
                 del self._idle[backend.server]
-            if conn.usable and _still_open(conn, idempotent, now):
+            if conn.usable and _is_probably_open(conn, idempotent, now):
                 return conn
             conn.close()
-        return await self._connect(backend, CONNECT_SECONDS)
+        return await self._connect(backend, CONNECT_TIMEOUT_SECONDS)
 
-    def kept(self) -> Container[str]:
-        """Servers that there are idle connections to."""
+    def idle_servers(self) -> Container[str]:
+        """Return the servers to which there are idle connections."""
         return self._idle.keys()
 
     def give_back(self, backend: Backend, conn: ServerConnection) -> None:
-        """Keep a connection whose answer has ended, if it is good for another."""
-        kept = self._idle.setdefault(backend.server, [])
-        if conn.usable and len(kept) < MOST_IDLE:
-            kept.append(conn)
+        """Keep a connection whose response has ended, if it can be used again."""
+        idle = self._idle.setdefault(backend.server, [])
+        if conn.usable and len(idle) < MAX_IDLE_CONNECTIONS_PER_SERVER:
+            idle.append(conn)
         else:
             conn.close()
 
     def sweep(self, listed: set[str]) -> None:
-        """Close idle connections whose time is over, or whose server is gone."""
+        """Close idle connections that expired or whose server is no longer listed."""
         now = self.clock()
-        for server, kept in list(self._idle.items()):
+        for server, idle in list(self._idle.items()):
             good = [
                 conn
-                for conn in kept
-                if server in listed and conn.usable and _still_open(conn, True, now)
+                for conn in idle
+                if server in listed
+                and conn.usable
+                and _is_probably_open(conn, True, now)
             ]
-            for conn in kept:
+            for conn in idle:
                 if conn not in good:
                     conn.close()
             if good:
@@ -99,30 +105,32 @@
             else:
                 del self._idle[server]
 
-    async def _connect(self, backend: Backend, within: float) -> ServerConnection:
+    async def _connect(
+        self, backend: Backend, timeout_seconds: float
+    ) -> ServerConnection:
         host, _, port = backend.listed.address.rpartition(":")
 
-        def heard(now: float) -> None:
+        def record_received(now: float) -> None:
             backend.heard_at = now
 
         def factory() -> ServerConnection:
-            return ServerConnection(self.wire, self.clock, heard)
+            return ServerConnection(self.wire, self.clock, record_received)
 
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_seconds):
                 _, conn = await loop.create_connection(factory, host, int(port))
         except (OSError, ValueError) as exc:
-            # A timeout is an OSError, too.
+            # TimeoutError is an OSError, too.
             why = str(exc) or type(exc).__name__
             raise Unreachable(backend.server, why) from exc
         return conn
 
 
-def _still_open(conn: ServerConnection, idempotent: bool, now: float) -> bool:
-    idle = now - conn.used_at
+def _is_probably_open(conn: ServerConnection, idempotent: bool, now: float) -> bool:
+    idle_seconds = now - conn.last_used_at
     if not idempotent:
-        return idle < RECENT_SECONDS
-    kept_for = conn.kept_for()
-    limit = KEPT_SECONDS if kept_for is None else kept_for - KEPT_MARGIN_SECONDS
-    return idle < min(limit, KEPT_SECONDS)
+        return idle_seconds < MAX_IDLE_NON_IDEMPOTENT_SECONDS
+    timeout = conn.idle_timeout_seconds()
+    limit = MAX_IDLE_SECONDS if timeout is None else timeout - KEEP_ALIVE_MARGIN_SECONDS
+    return idle_seconds < min(limit, MAX_IDLE_SECONDS)
--- a/tests/forward/conftest.py
+++ b/tests/forward/conftest.py
@@ -1,4 +1,4 @@
-"""An entry's data path between a raw caller and scripted backend servers."""
+"""The data path of an entry, with raw callers and scripted backend servers."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 import uvloop
 from wasabideck_adapter.wire import WIRE
 from wasabideck_base.events import Clock, Events
-from wasabideck_forward.caller_connection import CallerConnection, Front
+from wasabideck_forward.caller_connection import CallerConnection, CallerEndpoint
 from wasabideck_forward.crash_watch import CrashWatch
 from wasabideck_forward.dispatch import Bounds, Dispatch
 from wasabideck_forward.forwarder import Forwarder
@@ -29,8 +29,8 @@
 
 
 def route(prefix="/", kind=Kind.SAFE, **kw):
-    given = {"timeout": 2.0, "goal": 0.1, "attempts": 2, **kw}
-    return Route("r", "h.example", prefix, kind, shares=(("s", 1.0),), **given)
+    settings = {"timeout": 2.0, "goal": 0.1, "attempts": 2, **kw}
+    return Route("r", "h.example", prefix, kind, shares=(("s", 1.0),), **settings)
 
 
 ENGINE = EngineModel(
@@ -39,7 +39,7 @@
 
 
 def loaded(version):
-    """Layers that a server with a version whole is listed with."""
+    """Return the layers that a server is listed with once it has loaded a version."""
     return (Loaded(ENGINE.model, version, 0, ENGINE.layers),)
 
 
@@ -58,7 +58,7 @@
 
 
 class ScriptedServer:
-    """Gives each request the next of its scripts; keeps what it was sent.
+    """Answers each request with its next script, and records the requests.
 
     A script is a coroutine function of (request bytes, writer).
     """
@@ -114,8 +114,12 @@
     return answers(b"", status, b"X-Not-Executed: 1\r\n")
 
 
-def streams(*pieces, then="end", pause=0.0):
-    """Write pieces as chunks of a stream, then end, cut, reset or hang."""
+def streams(*parts, then="end", pause=0.0):
+    """Return a script that writes the parts of a stream as HTTP chunks.
+
+    After that it ends the stream ("end"), closes the connection ("cut"), resets it
+    ("reset") or sends nothing more ("hang").
+    """
 
     async def script(head, writer):
         writer.write(
@@ -123,8 +127,8 @@
             b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
             % request_id(head)
         )
-        for piece in pieces:
-            writer.write(b"%x\r\n%s\r\n" % (len(piece), piece))
+        for part in parts:
+            writer.write(b"%x\r\n%s\r\n" % (len(part), part))
             await asyncio.sleep(pause)
         if then == "end":
             writer.write(b"0\r\n\r\n")
@@ -148,7 +152,7 @@
 
 
 def reset(writer):
-    """Close a connection with a reset, as a dying machine's kernel does."""
+    """Close a connection with a reset, as the kernel of a failing machine does."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -159,7 +163,7 @@
 
 
 class Caller:
-    """A caller's connection, read raw."""
+    """A caller that writes requests and reads responses over a plain socket."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
@@ -177,7 +181,7 @@
         await self.writer.drain()
 
     async def answer(self):
-        """Status, headers in lower case, and body of the next answer."""
+        """Return status, headers in lower case, and body of the next response."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         lines = head.split(b"\r\n")
         status = int(lines[0].split()[1])
@@ -196,7 +200,7 @@
 
 
 class Entry:
-    """An entry's data path, and the servers and callers around it."""
+    """The data path of an entry, with its servers and callers."""
 
     def __init__(self, cfg):
         loop = asyncio.get_running_loop()
@@ -215,7 +219,7 @@
             CrashWatch(Quarantine(), events, lambda: 1000.0),
         )
         self.forwarder = Forwarder(self.pool, WIRE, events, self.dispatch)
-        self.front = Front(
+        self.front = CallerEndpoint(
             WIRE,
             loop.time,
             lambda: self.beliefs.configuration.limits,
@@ -223,7 +227,7 @@
             set(),
         )
         self.servers = []
-        self.looking = loop.create_task(self.forwarder.keep_taking_back())
+        self.recall_task = loop.create_task(self.forwarder.keep_taking_back())
 
     async def add_server(self, *scripts, name=None, slots=8, **kw):
         server = ScriptedServer(*scripts)
@@ -250,9 +254,9 @@
 
 @pytest.fixture
 def play():
-    """Run a scenario with a limit of time, on the loop that the programs run on.
+    """Run a scenario with a time limit, on the event loop that the programs use.
 
-    It runs timers before it reads, and the standard library's does not.
+    That loop runs timers before it reads, and the standard library's does not.
     """
 
     def run(scenario):
--- a/tests/forward/test_endless_bytes.py
+++ b/tests/forward/test_endless_bytes.py
@@ -1,4 +1,4 @@
-"""Servers in trouble that send bytes that are no answer, until the caller closes."""
+"""Faulty servers that send bytes without end that are no valid response."""
 
 import asyncio
 
@@ -17,8 +17,8 @@
     streams,
 )
 
-# More than a sound server's head, event or late answer to an earlier request holds.
-PLENTY_BYTES = 4_000_000
+# More bytes than the head, an event or a late second response of a healthy server has.
+MAX_SENT_BYTES = 4_000_000
 TIMEOUT = 2.0
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Response-Seal: s\r\n"
@@ -35,21 +35,21 @@
 }
 
 
-class Endless:
-    """Sends a beginning, and then the same bytes until its connection closes."""
+class EndlessScript:
+    """Script that sends a start, then the same bytes until the connection closes."""
 
-    def __init__(self, begin, more, pause=0.0):
-        self.begin, self.more, self.pause = begin, more, pause
+    def __init__(self, start, repeated, pause=0.0):
+        self.start, self.repeated, self.pause = start, repeated, pause
         self.sent = 0
         self.closed = asyncio.Event()
 
     async def __call__(self, head, writer):
-        begin = self.begin
-        writer.write(begin % request_id(head) if b"%s" in begin else begin)
+        start = self.start
+        writer.write(start % request_id(head) if b"%s" in start else start)
         try:
             while not writer.transport.is_closing():
-                writer.write(self.more)
-                self.sent += len(self.more)
+                writer.write(self.repeated)
+                self.sent += len(self.repeated)
                 await writer.drain()
                 await asyncio.sleep(self.pause)
         finally:
@@ -58,11 +58,11 @@
 
 @pytest.fixture(params=ENDLESS)
 def endless(request):
-    return Endless(*ENDLESS[request.param])
+    return EndlessScript(*ENDLESS[request.param])
 
 
 def test_a_lookup_is_answered_by_another_server(play, endless):
-    # Guards against a caller that waits out its time for bytes that are no answer.
+    # Guards against a caller that waits until its timeout for an invalid response.
     async def scenario():
         entry = Entry(configuration(route(timeout=TIMEOUT)))
         await entry.add_server(endless)
@@ -74,13 +74,14 @@
             status, _, body = await caller.answer()
         assert (status, body) == (200, b"sound")
         await asyncio.wait_for(endless.closed.wait(), 1)
-        assert endless.sent < PLENTY_BYTES
+        assert endless.sent < MAX_SENT_BYTES
 
     play(scenario)
 
 
-def test_what_may_run_once_is_told_at_once_that_nobody_knows(play, endless):
-    # Guards against a promise that it has not run, and against a wait for nothing.
+def test_a_request_that_may_run_once_fails_at_once_as_unknown(play, endless):
+    # Guards against a response that claims that the request has not run, and against a
+    # caller that waits until its timeout.
     async def scenario():
         entry = Entry(configuration(route(kind=Kind.UNSAFE, timeout=TIMEOUT)))
         await entry.add_server(endless)
@@ -92,15 +93,15 @@
             status, _, _ = await caller.answer()
         assert status in (502, 504)
         assert second.requests == []
-        assert endless.sent < PLENTY_BYTES
+        assert endless.sent < MAX_SENT_BYTES
 
     play(scenario)
 
 
-def test_an_event_without_end_is_left_for_another_server(play):
-    # Guards against an event that fills the entry's memory, while its bytes look like
-    # signs of life and the caller sees none of them.
-    bad = Endless(STREAM_HEAD, b"x" * 500)
+def test_a_stream_with_an_endless_event_moves_to_another_server(play):
+    # Guards against an event that fills the entry's memory: its bytes show that the
+    # server is responsive, but the caller receives none of them.
+    bad = EndlessScript(STREAM_HEAD, b"x" * 500)
 
     async def scenario():
         stream = route(kind=Kind.STREAM, resumable=True, goal=1.0, timeout=6.0)
@@ -113,15 +114,15 @@
         async with asyncio.timeout(2):
             status, _, body = await caller.answer()
         assert (status, body) == (200, event(1) + event(2))
-        assert bad.sent < PLENTY_BYTES
+        assert bad.sent < MAX_SENT_BYTES
 
     play(scenario)
 
 
-def test_a_head_that_comes_byte_by_byte_is_no_sign_of_life(play):
-    # Guards against a server that drips a head, below every limit of bytes, and keeps
-    # callers for all of their time.
-    bad = Endless(HEAD + b"X-Pad: ", b"x", pause=0.02)
+def test_a_server_that_sends_its_head_byte_by_byte_counts_as_unresponsive(play):
+    # Guards against a server that sends a head so slowly that no byte limit is reached,
+    # and keeps callers waiting until their timeout.
+    bad = EndlessScript(HEAD + b"X-Pad: ", b"x", pause=0.02)
 
     async def scenario():
         entry = Entry(configuration(route(timeout=6.0)))
@@ -137,10 +138,10 @@
     play(scenario)
 
 
-def test_a_body_without_end_ends_with_the_routes_time(play):
-    # Guards against a caller that is kept for longer, and against a half that looks
-    # whole.
-    bad = Endless(
+def test_a_body_without_end_is_aborted_at_the_timeout_of_the_route(play):
+    # Guards against a caller that waits for longer, and against an aborted response
+    # that looks complete.
+    bad = EndlessScript(
         HEAD + b"X-Request-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n",
         b"1f4\r\n" + b"x" * 500 + b"\r\n",
     )
--- a/tests/forward/test_entry_process.py
+++ b/tests/forward/test_entry_process.py
@@ -1,4 +1,4 @@
-"""How an entry's parts are put together."""
+"""How the parts of an entry are assembled."""
 
 import asyncio
 import random
@@ -36,19 +36,20 @@
     return NodeProcess(cfg, events, None, channels, believer, clock, rng, stop)
 
 
-def test_requests_are_taken_back_before_their_weights_are_over(process):
-    # What is taken back at the very end of a version's time is begun after it: the look
-    # comes later than that, and the close takes its way to the server.
+def test_requests_are_recalled_before_their_weights_expire(process):
+    # Guards against requests that start on expired weights because they are recalled
+    # too late: the check runs at intervals, and the close takes time to reach the
+    # server.
     bounds = _bounds(process.cfg)
     assert bounds.queue_seconds < bounds.version_seconds < bounds.begin_seconds
     assert bounds.begin_seconds + 3 * LOOK_SECONDS < process.cfg.bounds.version
 
 
-def test_a_running_entry_looks_at_what_waits_at_servers(process, monkeypatch):
-    looking = asyncio.Event()
+def test_a_running_entry_checks_for_requests_to_recall(process, monkeypatch):
+    checking = asyncio.Event()
 
     async def keep_taking_back(forwarder):
-        looking.set()
+        checking.set()
 
     monkeypatch.setattr(Forwarder, "keep_taking_back", keep_taking_back)
 
@@ -56,15 +57,15 @@
         entry = _assemble(process, DEPLOYMENT)
         serving = asyncio.create_task(entry.serve(EarlyListener("127.0.0.1:0")))
         async with asyncio.timeout(5):
-            await looking.wait()
+            await checking.wait()
         serving.cancel()
 
     asyncio.run(run())
 
 
 def test_a_loop_that_fails_ends_the_process(process):
-    # What it kept true, such as that nothing waits for weights that are over, would
-    # silently be so no more.
+    # Guards against a process that continues without one of its loops, such as the one
+    # that recalls requests from servers whose weights are about to expire.
     async def fails():
         raise ValueError("broken")
 
--- a/tests/forward/test_weights.py
+++ b/tests/forward/test_weights.py
@@ -1,4 +1,4 @@
-"""Which weights a request is begun on, seen by callers and by servers."""
+"""Which weights a request starts on, as callers and servers observe it."""
 
 import asyncio
 
@@ -19,51 +19,55 @@
 )
 
 STREAM = {"kind": Kind.STREAM, "resumable": True}
-# What ``Entry`` gives servers to come to a named version (seconds).
-WITHIN = 8.0
+# Time that ``Entry`` allows servers to change to a declared version.
+VERSION_SECONDS = 8.0
 
 
-def named_ago(entry, number, seconds):
-    """Have a version named so many seconds ago."""
+def declare_ago(entry, number, seconds):
+    """Declare a version as of a number of seconds ago."""
     now = asyncio.get_running_loop().time()
     entry.beliefs.name_version(ENGINE.model, number, now - seconds)
 
 
-def tells(entry, name, version, serving=True, ready_in=0.0, named=2):
-    """Have a server's agent tell which version it begins requests on."""
+def send_report(entry, name, version, serving=True, ready_in=0.0, newest_version=2):
+    """Report, as a server's agent does, on which version it starts requests."""
     backend = entry.beliefs.backends.get(name)
-    news = EngineNews(backend.listed.address, version, serving, 0, 0, ready_in, named)
-    backend.hear(news, asyncio.get_running_loop().time())
+    report = EngineNews(
+        backend.listed.address, version, serving, 0, 0, ready_in, newest_version
+    )
+    backend.hear(report, asyncio.get_running_loop().time())
     entry.dispatch.wake()
 
 
-def test_a_server_without_an_agent_gets_nothing_that_could_wait_there_too_long(play):
-    # Guards against a queue that nobody beside the server ends with its weights' time.
+def test_a_server_without_an_agent_gets_no_request_that_could_wait_too_long(play):
+    # Guards against requests in the queue of a server without an agent: no process
+    # beside the server removes them when its weights expire.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        alone = await entry.add_server(streams(event(1)), loaded=loaded(1))
+        unattended = await entry.add_server(streams(event(1)), loaded=loaded(1))
         attended = await entry.add_server(
             *[streams(event(1))] * 3, loaded=loaded(1), slots=32
         )
         entry.beliefs.backends.get("i-1").in_progress = 5
-        named_ago(entry, 2, WITHIN - 0.8)
-        tells(entry, "i-1", 1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.8)
+        send_report(entry, "i-1", 1)
         for _ in range(3):
             caller = await entry.caller()
             await caller.ask(method=b"POST", body=b"prompt")
             assert (await caller.answer())[0] == 200
-        assert (len(alone.requests), len(attended.requests)) == (0, 3)
+        assert (len(unattended.requests), len(attended.requests)) == (0, 3)
 
     play(scenario)
 
 
-def test_an_agent_that_has_not_heard_of_the_newer_version_holds_nothing(play):
-    # Guards against taking any agent's word for one that ends its engine's weights.
+def test_no_late_request_if_the_agent_does_not_know_the_newer_version(play):
+    # Guards against relying on an agent that has not received the declaration of the
+    # newer version, and so does not stop its engine's weights when they expire.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         server = await entry.add_server(streams(event(1)), loaded=loaded(1))
-        named_ago(entry, 2, WITHIN - 0.8)
-        tells(entry, "i-0", 1, named=1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.8)
+        send_report(entry, "i-0", 1, newest_version=1)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         assert (await caller.answer())[0] == 503
@@ -72,121 +76,126 @@
     play(scenario)
 
 
-def queues(seconds, begun, *pieces):
-    """A server that begins a request after a while in its queue."""
+def queues(seconds, started, *events):
+    """Return a script that starts a request after some seconds in a queue."""
 
     async def script(head, writer):
         await asyncio.sleep(seconds)
-        begun.append(asyncio.get_running_loop().time())
-        await streams(*pieces)(head, writer)
+        started.append(asyncio.get_running_loop().time())
+        await streams(*events)(head, writer)
 
     return script
 
 
-def test_what_waits_at_a_server_is_not_begun_on_weights_that_are_over(play):
-    # Seen: drafts were written by version 1, begun up to 53 ms after it was over. They
-    # had been sent in time, and waited 0.3 and 0.8 s at servers that seemed to have a
-    # place. Cause: an entry looked at the time when it sent, and never again; how long
-    # a request waits elsewhere was a guess of 0.2 s. Proof: the servers' own times of
-    # arrival and beginning, and this server, which begins whatever it still has.
+def test_a_request_queued_at_a_server_does_not_start_on_expired_weights(play):
+    # Guards against an entry that checks the expiry of weights only when it sends.
+    # Requests that were sent in time waited 0.3 and 0.8 s, instead of the assumed
+    # 0.2 s, at servers that seemed to have a free slot, and started up to 53 ms after
+    # version 1 had expired. The server of this test starts every request it still has.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        begun = []
-        full = await entry.add_server(queues(1.2, begun, event(1)), loaded=loaded(1))
+        started = []
+        full = await entry.add_server(queues(1.2, started, event(1)), loaded=loaded(1))
         newer = await entry.add_server(streams(event(1), event(2)))
-        named_ago(entry, 2, WITHIN - 0.5)
-        tells(entry, "i-0", 1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.5)
+        send_report(entry, "i-0", 1)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         assert len(full.requests) == 1
-        tells(entry, "i-1", 2)
+        send_report(entry, "i-1", 2)
         status, _, body = await caller.answer()
-        assert begun == []
+        assert started == []
         assert (status, body) == (200, event(1) + event(2))
         assert b"X-Expect-Version: 2\r\n" in newer.requests[0]
 
     play(scenario)
 
 
-def test_what_was_sent_early_to_a_server_without_an_agent_is_taken_back(play):
-    # Guards against a wait that outlasts the time in which such a server gets nothing.
+def test_a_request_sent_early_to_a_server_without_an_agent_is_recalled(play):
+    # Guards against a request that waits longer than the margin before the expiry in
+    # which such a server gets no requests.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        begun = []
-        alone = await entry.add_server(queues(2.0, begun, event(1)), loaded=loaded(1))
+        started = []
+        unattended = await entry.add_server(
+            queues(2.0, started, event(1)), loaded=loaded(1)
+        )
         await entry.add_server(streams(event(1), event(2)))
-        named_ago(entry, 2, WITHIN - 1.2)
+        declare_ago(entry, 2, VERSION_SECONDS - 1.2)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(1.0)
-        assert len(alone.requests) == 1
-        tells(entry, "i-1", 2)
+        assert len(unattended.requests) == 1
+        send_report(entry, "i-1", 2)
         assert (await caller.answer())[::2] == (200, event(1) + event(2))
-        assert begun == []
+        assert started == []
 
     play(scenario)
 
 
-def test_what_a_server_begins_on_the_newer_weights_stays_there(play):
-    # The server has been ordered to load version 2: what waits there is begun on it.
-    # Taken back, it would lose its place, and be refused where no other serves yet.
+def test_a_request_that_will_start_on_the_newer_weights_is_not_recalled(play):
+    # The server has been ordered to load version 2, and its queued requests will start
+    # on it. Guards against a recalled request that loses its position in the queue, and
+    # is refused because no other server serves version 2 yet.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        begun = []
-        await entry.add_server(queues(1.0, begun, event(1)), loaded=loaded(1))
-        named_ago(entry, 2, WITHIN - 0.5)
-        tells(entry, "i-0", 1)
+        started = []
+        await entry.add_server(queues(1.0, started, event(1)), loaded=loaded(1))
+        declare_ago(entry, 2, VERSION_SECONDS - 0.5)
+        send_report(entry, "i-0", 1)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
-        tells(entry, "i-0", 2, serving=False, ready_in=0.8)
+        send_report(entry, "i-0", 2, serving=False, ready_in=0.8)
         assert (await caller.answer())[::2] == (200, event(1))
 
     play(scenario)
 
 
-def test_the_way_to_a_server_is_tried_before_it_gets_what_it_may_begin_too_late(play):
-    # Seen: drafts were taken back 0.2 s before version 1 was over, and begun on it up
-    # to 0.3 s after. The link to the server's VM was full of chunks: what was sent came
-    # 1.5 s later, and the close behind it. A kept connection shows nothing of that.
+def test_a_request_that_may_start_too_late_is_sent_on_a_new_connection(play):
+    # Guards against a request on an idle connection over a congested link. Requests
+    # were recalled 0.2 s before version 1 expired, and started on it up to 0.3 s after:
+    # the link to the server's VM was full of chunks, so that the request and the close
+    # after it arrived 1.5 s late. An idle connection does not show that.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        far = await entry.add_server(streams(event(1)), loaded=loaded(1))
+        unreachable = await entry.add_server(streams(event(1)), loaded=loaded(1))
         await entry.add_server(streams(event(1), event(2)), loaded=loaded(1))
         entry.beliefs.backends.get("i-1").in_progress = 5
-        named_ago(entry, 2, WITHIN - 0.8)
-        tells(entry, "i-0", 1)
-        tells(entry, "i-1", 1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.8)
+        send_report(entry, "i-0", 1)
+        send_report(entry, "i-1", 1)
         connect = ServerPool._connect
 
-        async def full_link(pool, backend, within):
+        async def connect_over_full_link(pool, backend, timeout_seconds):
             if backend.server == "i-0":
-                await asyncio.sleep(min(1.5, within))
+                await asyncio.sleep(min(1.5, timeout_seconds))
                 raise Unreachable(backend.server, "no connection in time")
-            return await connect(pool, backend, within)
+            return await connect(pool, backend, timeout_seconds)
 
         idle = await connect(entry.pool, entry.beliefs.backends.get("i-0"), 1.0)
         entry.pool.give_back(entry.beliefs.backends.get("i-0"), idle)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(ServerPool, "_connect", full_link)
+            patch.setattr(ServerPool, "_connect", connect_over_full_link)
             caller = await entry.caller()
             await caller.ask(method=b"POST", body=b"prompt")
             async with asyncio.timeout(0.5):
                 assert (await caller.answer())[::2] == (200, event(1) + event(2))
-        assert far.requests == []
+        assert unreachable.requests == []
 
     play(scenario)
 
 
-def test_word_of_a_server_that_was_listed_anew_counts_for_what_waits_there(play):
-    # The server's entry lapsed for a moment and came back. Its agent's word went to the
-    # new entry, and what waited there was judged by the old one and taken back.
+def test_a_report_on_a_relisted_server_applies_to_requests_queued_there(play):
+    # The server is removed from the list for a moment and added again. Guards against
+    # reports that update only the new backend, while queued requests are checked
+    # against the old one and recalled.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         await entry.add_server(queues(1.0, [], event(1)), loaded=loaded(1))
-        named_ago(entry, 2, WITHIN - 0.5)
-        tells(entry, "i-0", 1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.5)
+        send_report(entry, "i-0", 1)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
@@ -194,19 +203,20 @@
         listed = backends.get("i-0").listed
         backends.remove(["i-0"], asyncio.get_running_loop().time())
         backends.take(listed)
-        tells(entry, "i-0", 2, serving=False, ready_in=0.8)
+        send_report(entry, "i-0", 2, serving=False, ready_in=0.8)
         assert (await caller.answer())[::2] == (200, event(1))
 
     play(scenario)
 
 
-def test_what_a_server_that_has_left_the_list_still_works_off_stays_there(play):
-    # A version is due for ever once it was. A server of that version leaves the list
-    # and works its queue off: nothing there is on weights that are over.
+def test_a_request_queued_at_a_server_that_was_unlisted_is_not_recalled(play):
+    # A server with the required version is removed from the list and still processes
+    # its queue. A version stays required for ever once it was: none of the requests
+    # there are on expired weights.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         await entry.add_server(queues(0.4, [], event(1)), loaded=loaded(2))
-        named_ago(entry, 2, WITHIN + 5.0)
+        declare_ago(entry, 2, VERSION_SECONDS + 5.0)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
@@ -216,14 +226,14 @@
     play(scenario)
 
 
-def test_a_server_is_asked_for_the_version_that_it_holds(play):
-    # Versions 2 and 3 were named two seconds apart, version 2 is due, and a server has
-    # version 3 already. Asked for version 2 exactly, it would refuse.
+def test_a_request_expects_the_version_that_the_server_has_loaded(play):
+    # Versions 2 and 3 were declared two seconds apart, version 2 is required, and the
+    # server has loaded version 3. It would refuse a request that expects version 2.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         server = await entry.add_server(streams(event(1)), loaded=loaded(3))
-        named_ago(entry, 2, WITHIN + 0.5)
-        named_ago(entry, 3, WITHIN - 1.5)
+        declare_ago(entry, 2, VERSION_SECONDS + 0.5)
+        declare_ago(entry, 3, VERSION_SECONDS - 1.5)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         assert (await caller.answer())[0] == 200
@@ -232,64 +242,64 @@
     play(scenario)
 
 
-def test_an_answers_head_is_no_sign_that_a_request_has_begun(play):
-    async def head_alone(head, writer):
+def test_the_head_of_a_response_does_not_show_that_a_request_has_started(play):
+    async def head_only(head, writer):
         await streams(then="hang")(head, writer)
 
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        await entry.add_server(head_alone, loaded=loaded(1))
+        await entry.add_server(head_only, loaded=loaded(1))
         await entry.add_server(streams(event(1)))
-        named_ago(entry, 2, WITHIN - 0.5)
-        tells(entry, "i-0", 1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.5)
+        send_report(entry, "i-0", 1)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
-        tells(entry, "i-1", 2)
+        send_report(entry, "i-1", 2)
         async with asyncio.timeout(1.0):
             assert (await caller.answer())[::2] == (200, event(1))
 
     play(scenario)
 
 
-def test_what_was_taken_back_waits_for_newer_weights_that_are_soon_there(play):
-    # At the end of a version's time hardly any server has the next one yet. What was
-    # taken back from a queue then was failed, with a server back 0.2 s later.
+def test_a_recalled_request_waits_for_a_server_that_soon_has_newer_weights(play):
+    # Guards against recalled requests that fail when a version expires and hardly any
+    # server has loaded the next one yet, although a server is ready 0.2 s later.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         full = await entry.add_server(hangs, loaded=loaded(1))
         await entry.add_server(streams(event(1)))
-        named_ago(entry, 2, WITHIN - 0.3)
-        tells(entry, "i-0", 1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.3)
+        send_report(entry, "i-0", 1)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
-        tells(entry, "i-1", 1, serving=False, ready_in=0.6)
+        send_report(entry, "i-1", 1, serving=False, ready_in=0.6)
         await full.closed.wait()
         await asyncio.sleep(0.2)
-        tells(entry, "i-1", 2)
+        send_report(entry, "i-1", 2)
         assert (await caller.answer())[::2] == (200, event(1))
 
     play(scenario)
 
 
-def test_what_was_taken_back_and_finds_no_server_may_have_run(play):
-    # It may have begun the moment before its connection was closed: an answer that
-    # promises that it has not run would be a guess. The server did nothing wrong, and
-    # is not passed over for it.
+def test_a_recalled_request_without_another_server_fails_as_possibly_run(play):
+    # The request may have started just before its connection was closed, so the
+    # response must not claim that it has not run. The server is not at fault, and is
+    # not ejected as an outlier.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        # With room for all of them: what has no place at once is not sent.
+        # Enough slots for all requests: one without a free slot is not sent.
         scripts = (hangs, hangs, hangs, hangs)
         await entry.add_server(*scripts, slots=32, loaded=loaded(1))
-        named_ago(entry, 2, WITHIN - 0.3)
-        tells(entry, "i-0", 1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.3)
+        send_report(entry, "i-0", 1)
         callers = [await entry.caller() for _ in range(4)]
         for caller in callers:
             await caller.ask(method=b"POST", body=b"prompt")
         for caller in callers:
             assert (await caller.answer())[0] == 502
-        why = [told["why"] for kind, told in entry.log if kind == "attempt.failed"]
+        why = [fields["why"] for kind, fields in entry.log if kind == "attempt.failed"]
         assert why == ["Recalled: i-0: version 1, 2 is due"] * 4
         now = asyncio.get_running_loop().time()
         assert not entry.dispatch.outliers.out("i-0", now)
@@ -297,18 +307,18 @@
     play(scenario)
 
 
-def test_what_has_begun_ends_on_the_weights_that_it_began_with(play):
+def test_a_started_request_ends_on_the_weights_that_it_started_on(play):
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         slow = streams(event(1), event(2), event(3), pause=0.3)
         await entry.add_server(slow, loaded=loaded(1))
         newer = await entry.add_server(streams(event(1)))
-        named_ago(entry, 2, WITHIN - 0.5)
-        tells(entry, "i-0", 1)
+        declare_ago(entry, 2, VERSION_SECONDS - 0.5)
+        send_report(entry, "i-0", 1)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
-        tells(entry, "i-1", 2)
+        send_report(entry, "i-1", 2)
         status, _, body = await caller.answer()
         assert (status, body) == (200, event(1) + event(2) + event(3))
         assert newer.requests == []
@@ -316,19 +326,20 @@
     play(scenario)
 
 
-def test_a_requests_line_says_which_weights_it_was_sent_to(play):
-    # A caller got an answer of weights that were over. The line of its request named
-    # the server alone, and left open whether the entry knew how little time it had.
+def test_the_end_event_of_a_request_has_the_weights_it_was_sent_to(play):
+    # Guards against an event that names only the server. When a caller received a
+    # response from expired weights, the event did not show whether the entry knew how
+    # little time was left.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         await entry.add_server(streams(event(1)), loaded=loaded(1))
-        named_ago(entry, 2, WITHIN - 5.0)
+        declare_ago(entry, 2, VERSION_SECONDS - 5.0)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         assert (await caller.answer())[0] == 200
         await asyncio.sleep(0)
-        [told] = [told for kind, told in entry.log if kind == "request.ended"]
-        assert told["weights"] == 1
-        assert told["over_in"] == pytest.approx(5.0, abs=0.5)
+        [fields] = [fields for kind, fields in entry.log if kind == "request.ended"]
+        assert fields["weights"] == 1
+        assert fields["over_in"] == pytest.approx(5.0, abs=0.5)
 
     play(scenario)
