--- a/packages/wasabideck_base/wasabideck_base/believer.py
+++ b/packages/wasabideck_base/wasabideck_base/believer.py
@@ -1,4 +1,4 @@
-"""Turns rows of the store, and what peers tell, into a process's beliefs."""
+"""Keeps a process's cluster state up to date from the store and from its peers."""
 
 from __future__ import annotations
 
@@ -24,62 +24,70 @@
 from .channels import Channels
 from .deployment import Deployment
 from .events import Events
-from .hearsay import CALM_SECONDS, CUT_OFF_SECONDS, NEAR_HEARD_SECONDS, Hearsay
+from .hearsay import (
+    FAST_GOSSIP_INTERVAL_SECONDS,
+    GOSSIP_INTERVAL_SECONDS,
+    RECENT_LOCAL_REPLY_SECONDS,
+    Hearsay,
+)
 from .http_answers import PlatformRefused, PlatformUnavailable
 from .member_rows import MEMBERS, MalformedMember, member_of, member_row
 from .node import NodeSettings
 from .region_readers import RegionReaders
 from .rows import Row, RowStore
-from .table_watch import BEHIND_SECONDS, LONGEST_UNHEARD, TableWatch
-from .told import Ages
-from .version_dates import VersionDates
-
-__all__ = ["Believer", "members_pause"]
-
-# The table of members is read again after these pauses: others start at the same
-# time, and later ones are heard of when they ask (seconds).
-MEMBERS_SOON = 1.5
-MEMBERS_LATER = 15.0
-# Reading it may take so many bytes a second of this process's link on average: with
-# thousands of members the pauses get longer.
-MEMBERS_RATE = 2500.0
+from .table_watch import MAX_BACKDATING_SECONDS, STALLED_CALL_SECONDS, TableWatch
+from .told import DeclarationAges
+from .version_dates import DeclarationTimes
+
+__all__ = ["Believer", "members_interval"]
+
+# Delay before the second read of the members table, and minimum interval between later
+# reads. Other processes may start at the same time as this one; processes that start
+# later become known when they poll this one.
+MEMBERS_SECOND_READ_SECONDS = 1.5
+MEMBERS_MIN_INTERVAL_SECONDS = 15.0
+# Average bandwidth for reading the members table, per process: with thousands of
+# members the interval grows.
+MEMBERS_BYTES_PER_SECOND = 2500.0
 MEMBER_BYTES = 200
-# An agent that no entry answers for so long reads the store itself (seconds).
-UNHEARD_SECONDS = 2.0
-# So many agents of a region read at once where no entry tells them, the others in turn,
-# and each waits so long for the others' word and for the table of members (seconds).
-READING_AGENTS = 4
-TOLD_WITHIN_SECONDS = 2.0
-JOINING_SECONDS = 1.0
-# While it reads, it looks so often whether an entry has told it (seconds).
-TOLD_SECONDS = 0.1
-# Reads that failed one after the other are further apart each time, up to so long
-# (seconds): what a full link brings of an answer that is given up fills it for the
-# others, who then give up as well.
-LONGEST_APART = 8.0
-# Engines' models and the origin change rarely: an agent takes a newer configuration in
-# no more often than this (seconds).
-CONFIGURED_SECONDS = 10.0
-# Leases last three heartbeats, 3.6 s: what was shorter by far let none lapse (seconds).
-OUTAGE_SECONDS = 1.0
-# The pause in which more changes of the servers' list come together, as a part of the
-# time in which a leaving server still serves. Where servers are added one after the
-# other every entry would else ask the store for each.
-SETTLE_PART = 0.25
-# Word of a server that leaves takes so long, beside that pause (seconds).
-HEARING_SECONDS = 0.3
-# Who declarations come from when they do not come from a peer.
+# An agent reads the store itself after this time without a reply from any entry.
+NO_GOSSIP_SECONDS = 2.0
+# Number of agents per region that read the store at once when no entry sends them the
+# declarations; the others follow one after the other. Each agent first waits
+# GOSSIP_WAIT_SECONDS for its entries and MEMBERS_WAIT_SECONDS for the members table.
+CONCURRENT_AGENT_READS = 4
+GOSSIP_WAIT_SECONDS = 2.0
+MEMBERS_WAIT_SECONDS = 1.0
+# Interval at which a pending read checks whether an entry has sent the declarations.
+GOSSIP_CHECK_SECONDS = 0.1
+# Maximum backoff between failed reads. The part of an answer that arrives before its
+# read is cancelled uses up the bandwidth of a full link, so that the reads of other
+# processes time out as well.
+MAX_READ_BACKOFF_SECONDS = 8.0
+# Minimum interval at which an agent accepts a newer configuration: the engines' models
+# and the origin change rarely.
+CONFIGURATION_INTERVAL_SECONDS = 10.0
+# Leases last three heartbeats, 3.6 s: no lease expires in a much shorter outage.
+MIN_OUTAGE_SECONDS = 1.0
+# Delay during which changes of the server list are collected, as a fraction of the time
+# for which a server that is shutting down still serves. Without the delay, every entry
+# would query the store for each of several servers added one after the other.
+SETTLE_FRACTION = 0.25
+# Time for the notice that a server is shutting down to arrive, in addition to that
+# delay.
+LEAVE_NOTICE_SECONDS = 0.3
+# Source of declarations that come from the store and not from a peer.
 STORE = "store"
 
 
 @define
 class Believer:
-    """Keeps one process's beliefs up to date.
+    """Keeps one process's cluster state up to date.
 
     Attributes
     ----------
     on_version : callable
-        Told of each newer named version of a model's weights.
+        Called with each newer declared version of a model's weights.
     """
 
     cfg: NodeSettings
@@ -93,65 +101,72 @@
     on_version: Callable[[str, int], None] = lambda model, number: None
     beliefs: Beliefs = field(init=False)
     hearsay: Hearsay = field(init=False)
-    operators: TableWatch = field(init=False)
-    servers: TableWatch = field(init=False)
+    operator_watch: TableWatch = field(init=False)
+    server_watch: TableWatch = field(init=False)
     readers: RegionReaders = field(init=False)
-    dates: VersionDates = field(init=False)
-    _joined: asyncio.Event = field(factory=asyncio.Event)
-    _telling: set[asyncio.Task] = field(factory=set)
-    _read_operators: bool = False
-    _configured_at: float = float("-inf")
+    declaration_times: DeclarationTimes = field(init=False)
+    _members_known: asyncio.Event = field(factory=asyncio.Event)
+    _notifications: set[asyncio.Task] = field(factory=set)
+    _operators_read: bool = False
+    _configuration_wanted_at: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
-        """Put the watches together."""
+        """Create the table watches and the components that use them."""
         self.beliefs = Beliefs(self.clock())
         drain = self.cfg.bounds.drain
-        settle = SETTLE_PART * drain
-        self.beliefs.backends.mass_seconds = max(0.0, drain - settle - HEARING_SECONDS)
-        self.operators = self._watch(
-            self.deployment.operators, self._took_operators, self._whole_operators
+        settle_seconds = SETTLE_FRACTION * drain
+        self.beliefs.backends.mass_seconds = max(
+            0.0, drain - settle_seconds - LEAVE_NOTICE_SECONDS
+        )
+        self.operator_watch = self._watch(
+            self.deployment.operators,
+            self._apply_operator_rows,
+            self._note_operators_read,
         )
-        self.servers = self._watch(
-            self.deployment.servers, self._took_servers, self._whole_servers
+        self.server_watch = self._watch(
+            self.deployment.servers,
+            self._apply_server_rows,
+            self._apply_full_server_list,
         )
-        self.servers.settle = settle
-        # Agents hear from entries near by what operators declare: each configuration
-        # is some 40 KB, and would cross a region's thin link once for each agent.
-        followed = (self.operators, self.servers) if self._is_entry else ()
+        self.server_watch.settle_seconds = settle_seconds
+        # Agents receive the operators' declarations from nearby entries: each
+        # configuration has some 40 KB, and would cross a region's slow link once for
+        # each agent.
+        watches = (self.operator_watch, self.server_watch) if self._is_entry else ()
         self.hearsay = Hearsay(
             self.me,
             self.channels,
             self.events,
             self.clock,
             self.rng,
-            self._changed,
-            {watch.table: watch for watch in followed},
-            # Configurations are declarations already; servers are told as rows.
-            frozenset([self.servers.table] if followed else []),
+            self._apply_declarations,
+            {watch.table: watch for watch in watches},
+            # Configurations are sent as declarations already; servers are sent as rows.
+            frozenset([self.server_watch.table] if watches else []),
             seeds=self.cfg.inner_seeds(),
-            asked="" if self._is_entry else ENTRY,
-            ages=Ages(
+            peer_kind="" if self._is_entry else ENTRY,
+            ages=DeclarationAges(
                 self._ages_of,
-                self._running_ages,
-                self._unsure,
-                self._heard_age,
-                self._untold_age,
+                self._unexpired_ages,
+                self._is_uncertain,
+                self._record_reported_age,
+                self._bound_unreported_age,
             ),
         )
         self.readers = RegionReaders(
             Readers(self.me.vm, self.me.region),
-            self.operators,
+            self.operator_watch,
             self.hearsay,
             self.events,
             self.clock,
             self.rng,
             self.cfg.bounds.configuration,
         )
-        self.dates = VersionDates(
+        self.declaration_times = DeclarationTimes(
             self.store,
             lambda model: self._ages_of(weights_key(model)),
-            self._undated,
-            lambda model, number, since: self._take_since(
+            self._models_with_unknown_time,
+            lambda model, number, since: self._record_declaration_time(
                 weights_key(model), number, since
             ),
             self._publishing_rank,
@@ -159,23 +174,27 @@
             self.events,
             self.rng,
         )
-        self.hearsay.following = self.readers.followed
-        self.hearsay.alone = self._alone
+        self.hearsay.position = self.readers.position
+        self.hearsay.region_may_lag = self._region_may_lag
 
     @property
     def _is_entry(self) -> bool:
         return self.me.kind == ENTRY
 
     def loops(self) -> list[Coroutine]:
-        """What has to run for as long as the process does."""
-        loops = [self._keep_asking(), self._keep_members(), self.dates.run_lookups()]
+        """Return the coroutines that run for the lifetime of the process."""
+        loops = [
+            self._run_gossip(),
+            self._run_member_reads(),
+            self.declaration_times.run_lookups(),
+        ]
         if self._is_entry:
-            loops.append(self.dates.run_publishing())
-            return [*loops, self.readers.run(), self.servers.run()]
-        return [*loops, self._keep_reading()]
+            loops.append(self.declaration_times.run_publishing())
+            return [*loops, self.readers.run(), self.server_watch.run()]
+        return [*loops, self._run_fallback_reads()]
 
     async def read_members(self) -> bool:
-        """Read who is there, with a line for what cannot be read; whether it was."""
+        """Read the members table, log unreadable rows; return whether it was read."""
         try:
             changes = await self.store.read(MEMBERS)
         except (PlatformUnavailable, PlatformRefused) as exc:
@@ -189,29 +208,31 @@
                 continue
             self.hearsay.members[member.vm] = member
         entries = [m for m in self.hearsay.members.values() if m.kind == ENTRY]
-        near = sum(m.data_centre == self.me.data_centre for m in entries)
+        nearby = sum(m.data_centre == self.me.data_centre for m in entries)
         self.beliefs.entries = max(1, len(entries))
-        self.beliefs.near_entries = max(1, near)
+        self.beliefs.near_entries = max(1, nearby)
         return True
 
-    def _watch(self, table: str, took: Callable, whole: Callable) -> TableWatch:
+    def _watch(
+        self, table: str, on_rows: Callable, on_full_read: Callable
+    ) -> TableWatch:
         return TableWatch(
             self.store,
             table,
-            took,
-            whole,
-            self._returned
+            on_rows,
+            on_full_read,
+            self._note_store_recovery
             if table == self.deployment.servers
             else lambda seconds: None,
             self.clock,
             self.events,
             self.rng,
-            rereads=table == self.deployment.operators,
+            prefers_full_read=table == self.deployment.operators,
         )
 
-    # The operators' declarations
+    # Declarations of the operators
 
-    def _took_operators(self, rows: list[Row]) -> None:
+    def _apply_operator_rows(self, rows: list[Row]) -> None:
         found, newer = [], []
         for row in rows:
             try:
@@ -221,51 +242,55 @@
                 continue
             if declaration is not None:
                 found.append(declaration)
-                if row.version > self.operators.adopted:
+                if row.version > self.operator_watch.adopted_version:
                     newer.append(declaration)
         newer += self.hearsay.merge(found, STORE)
-        if self._tells_only_news:
-            # What a reader had told before is older than this answer.
-            self._date(newer)
+        if self._store_rows_are_new:
+            # Ages that a region reader reported earlier predate this answer.
+            self._bound_ages(newer)
 
     @property
-    def _tells_only_news(self) -> bool:
-        """Whether what the store tells now was named since it was last asked."""
-        return self._read_operators and not self.operators.first_read_unchecked
+    def _store_rows_are_new(self) -> bool:
+        """Whether rows that the store returns now were written since the last read."""
+        return self._operators_read and not self.operator_watch.first_read_unverified
 
-    def _date(self, declarations: list[Declaration]) -> None:
-        """Bound ages by the store's answer, also of what a peer told before it."""
+    def _bound_ages(self, declarations: list[Declaration]) -> None:
+        """Bound ages by the store's answer, also if a peer sent the version earlier."""
         for declaration in declarations:
             if declaration.key != CONFIGURATION:
-                since = min(self.clock(), self.operators.told_from)
-                self._take_since(declaration.key, declaration.number, since)
-                self.dates.publish(weights_model(declaration.key))
-                self.dates.look_up()
-
-    def _whole_operators(self, rows: list[Row]) -> None:
-        # What the store tells from now on was declared just now.
-        self._read_operators = True
-
-    def _changed(self, newer: list[Declaration], source: str) -> None:
-        # Of several that came together only the newest of a key is put in force.
+                since = min(self.clock(), self.operator_watch.written_since)
+                self._record_declaration_time(
+                    declaration.key, declaration.number, since
+                )
+                self.declaration_times.request_publishing(
+                    weights_model(declaration.key)
+                )
+                self.declaration_times.request_lookup()
+
+    def _note_operators_read(self, rows: list[Row]) -> None:
+        # Whatever the store returns after this read has just been declared.
+        self._operators_read = True
+
+    def _apply_declarations(self, newer: list[Declaration], source: str) -> None:
+        # Of several declarations of a key only the newest takes effect.
         for declaration in {d.key: d for d in newer}.values():
             if declaration.key == CONFIGURATION:
-                self._configure(declaration)
+                self._apply_configuration(declaration)
             else:
-                self._name_version(declaration, source)
-        if source == STORE and self._read_operators:
-            self.readers.tell(newer)
+                self._declare_version(declaration, source)
+        if source == STORE and self._operators_read:
+            self.readers.notify_followers(newer)
         weights = [d for d in newer if d.key != CONFIGURATION]
         if weights and source == STORE and self._is_entry:
-            task = asyncio.create_task(self.hearsay.tell(weights))
-            self._telling.add(task)
-            task.add_done_callback(self._telling.discard)
+            task = asyncio.create_task(self.hearsay.notify_agents(weights))
+            self._notifications.add(task)
+            task.add_done_callback(self._notifications.discard)
 
-    def _configure(self, declaration: Declaration) -> None:
+    def _apply_configuration(self, declaration: Declaration) -> None:
         try:
             cfg = self.deployment.read_configuration(declaration.content)
         except WasabideckError as exc:
-            # The former configuration stays in force: half of one is worse.
+            # The previous configuration stays in effect: a partial one would be worse.
             self.events.emit(
                 "configuration.unusable", number=declaration.number, why=str(exc)
             )
@@ -273,10 +298,10 @@
         self.beliefs.configuration = cfg
         self.events.emit("configuration.in-force", number=cfg.number)
 
-    def _name_version(self, declaration: Declaration, source: str) -> None:
+    def _declare_version(self, declaration: Declaration, source: str) -> None:
         model = weights_model(declaration.key)
         now = self.clock()
-        since, certain = self._since(declaration, source, now)
+        since, certain = self._declaration_time(declaration, source, now)
         if not self.beliefs.name_version(
             model, declaration.number, since, certain, now
         ):
@@ -284,31 +309,33 @@
         if not certain:
             number = declaration.number
             self.events.emit("version.undated", version=number, source=source)
-            self.dates.look_up()
+            self.declaration_times.request_lookup()
         self.on_version(model, declaration.number)
 
-    def _since(
+    def _declaration_time(
         self, declaration: Declaration, source: str, now: float
     ) -> tuple[float, bool]:
-        """From when on a version's time counts, and whether that is when it was named.
+        """Return when a version's time starts, and whether that is known for certain.
 
-        One that was named before this process could see it may be long due, and nobody
-        may be left who knows. It counts as due until its date is found.
+        A version declared before this process could see it may have expired long ago,
+        and perhaps no running process knows. It counts as expired until its declaration
+        time is found.
         """
-        if source == STORE and self._tells_only_news:
-            # Named in the pause after another change, or while the answer was on its
-            # way, a version is older than the answer: see ``_date``.
+        if source == STORE and self._store_rows_are_new:
+            # The version may be older than the answer, if it was declared in the delay
+            # after another change or while the answer was in transit: see
+            # ``_bound_ages``.
             return now, True
         return now - self.cfg.bounds.version, False
 
-    def _undated(self) -> list[str]:
+    def _models_with_unknown_time(self) -> list[str]:
         return self.beliefs.undated_models(self.cfg.bounds.version, self.clock())
 
     def _publishing_rank(self) -> int:
-        """Place of this entry among those of its region that publish dates."""
+        """Return this entry's rank among the publishing entries of its region."""
         members = self.hearsay.members.values()
-        near = (m for m in members if m.region == self.me.region)
-        entries = {m.vm for m in near if m.kind == ENTRY}
+        nearby = (m for m in members if m.region == self.me.region)
+        entries = {m.vm for m in nearby if m.kind == ENTRY}
         return rank(self.me.region, entries | {self.me.vm}).index(self.me.vm)
 
     def _ages_of(self, key: str) -> dict[int, float]:
@@ -317,32 +344,36 @@
         within, now = self.cfg.bounds.version, self.clock()
         return self.beliefs.version_ages(weights_model(key), within, now)
 
-    def _running_ages(self, key: str) -> dict[int, float]:
-        # All or none: who is told the newest alone takes that for all there is to know.
+    def _unexpired_ages(self, key: str) -> dict[int, float]:
+        # Report all ages or none: a peer that receives only the newest version's age
+        # would assume that no older version still matters.
         ages = self._ages_of(key)
         youngest = min(ages.values(), default=float("inf"))
         return ages if youngest < self.cfg.bounds.version else {}
 
-    def _unsure(self, key: str) -> bool:
-        # Later the guess is over, whoever was asked.
-        young = self.clock() - self.beliefs.began < self.cfg.bounds.stable
-        known = key != CONFIGURATION and self.beliefs.undated(weights_model(key))
-        return young and known
+    def _is_uncertain(self, key: str) -> bool:
+        # After the stable time no peer is queried for it any more.
+        recently_started = self.clock() - self.beliefs.began < self.cfg.bounds.stable
+        time_unknown = key != CONFIGURATION and self.beliefs.undated(weights_model(key))
+        return recently_started and time_unknown
 
-    def _heard_age(self, key: str, number: int, age: float) -> None:
-        """Take in a peer's word on when a version was named."""
-        self._take_since(key, number, self.clock() - age)
+    def _record_reported_age(self, key: str, number: int, age: float) -> None:
+        """Record the age of a version as reported by a peer."""
+        self._record_declaration_time(key, number, self.clock() - age)
 
-    def _untold_age(self, key: str, number: int) -> None:
-        """Date a version that a peer cannot: no reader had it a moment ago."""
+    def _bound_unreported_age(self, key: str, number: int) -> None:
+        """Bound the age of a version that a peer sent without one.
+
+        A region reader reported a moment ago that it did not have the version yet.
+        """
         if key == CONFIGURATION or not self.readers.covered:
             return
         now = self.clock()
-        since = self.operators.lacked_from(now)
-        if now - since <= LONGEST_UNHEARD + COVERED_SECONDS:
-            self._take_since(key, number, since)
+        since = self.operator_watch.missing_since(now)
+        if now - since <= MAX_BACKDATING_SECONDS + COVERED_SECONDS:
+            self._record_declaration_time(key, number, since)
 
-    def _take_since(self, key: str, number: int, since: float) -> None:
+    def _record_declaration_time(self, key: str, number: int, since: float) -> None:
         model = weights_model(key)
         newest = self.beliefs.newest_version(model)
         if not self.beliefs.date_version(model, number, since):
@@ -350,12 +381,12 @@
         age = round(self.clock() - since, 3)
         self.events.emit("version.dated", version=number, age=age)
         if number > newest:
-            # Its declaration comes as nothing new.
+            # Its declaration will arrive with a known number and trigger nothing.
             self.on_version(model, number)
 
-    # The servers' entries
+    # Rows of the servers table
 
-    def _took_servers(self, rows: list[Row]) -> None:
+    def _apply_server_rows(self, rows: list[Row]) -> None:
         backends = self.beliefs.backends
         for row in rows:
             if row.removed:
@@ -367,110 +398,131 @@
                 self.events.emit("row.unreadable", why=str(exc))
                 continue
             known = backends.get(row.key)
-            told = {"server": row.key, "service": listed.service}
+            fields = {"server": row.key, "service": listed.service}
             if listed.leaving and (known is None or not known.listed.leaving):
-                self.events.emit("server.leaving", **told, version=row.version)
+                self.events.emit("server.leaving", **fields, version=row.version)
             elif known is None:
-                self.events.emit("server.joined", **told, version=row.version)
+                self.events.emit("server.joined", **fields, version=row.version)
             backends.take(listed)
-        # Last, all at once, and by each key's last row: one answer may tell of a change
-        # of an entry and then of its removal, and the older row would put it back.
+        # Removals are applied last, all at once, and by the last row of each key: one
+        # answer may contain a change of a row and then its removal, and the older row
+        # would add the server again.
         last = {row.key: row for row in rows}
-        gone = [key for key, row in last.items() if row.removed]
-        backends.remove(gone, self.clock(), self._removed_from())
+        removed = [key for key, row in last.items() if row.removed]
+        backends.remove(removed, self.clock(), self._earliest_removal())
 
-    def _removed_from(self) -> float:
-        """From when on servers that the store's answer lacks may have been removed."""
-        return min(self.clock(), self.servers.told_from)
+    def _earliest_removal(self) -> float:
+        """Return the earliest removal time of servers that the answer lacks."""
+        return min(self.clock(), self.server_watch.written_since)
 
-    def _whole_servers(self, rows: list[Row]) -> None:
+    def _apply_full_server_list(self, rows: list[Row]) -> None:
         self.beliefs.listed = True
         listed = {row.key for row in rows}
-        gone = self.beliefs.backends.keep_only(
-            listed, self.clock(), self._removed_from()
+        removed = self.beliefs.backends.keep_only(
+            listed, self.clock(), self._earliest_removal()
         )
-        for server in gone:
+        for server in removed:
             self.events.emit("server.gone", server=server, version=0)
 
-    def _returned(self, lasted: float) -> None:
-        # A broken connection is no outage: no lease runs out in so short a time.
-        if lasted >= OUTAGE_SECONDS:
+    def _note_store_recovery(self, outage_seconds: float) -> None:
+        # A broken connection is not an outage: no lease expires in so short a time.
+        if outage_seconds >= MIN_OUTAGE_SECONDS:
             self.beliefs.backends.outage_ended = self.clock()
 
-    # Peers
+    # Gossip with peers, and reads of the store without it
 
-    async def _keep_asking(self) -> None:
+    async def _run_gossip(self) -> None:
         while True:
-            heard_at = self.operators.heard_at
-            failing = self._cut_off()
-            unsure = any(map(self._unsure, self.hearsay.declarations.numbers()))
-            await asyncio.sleep(CUT_OFF_SECONDS if failing or unsure else CALM_SECONDS)
-            await self.hearsay.ask_one()
+            answered_at = self.operator_watch.last_answer_at
+            cut_off = self._is_cut_off()
+            uncertain = any(
+                map(self._is_uncertain, self.hearsay.declarations.numbers())
+            )
+            await asyncio.sleep(
+                FAST_GOSSIP_INTERVAL_SECONDS
+                if cut_off or uncertain
+                else GOSSIP_INTERVAL_SECONDS
+            )
+            await self.hearsay.sync_with_one()
             self.beliefs.heard_at = max(
-                heard_at, self.hearsay.heard_at, self.operators.heard_at
+                answered_at,
+                self.hearsay.last_reply_at,
+                self.operator_watch.last_answer_at,
             )
 
-    def _cut_off(self) -> bool:
-        """Whether the store gave this process no answer when it was last asked."""
+    def _is_cut_off(self) -> bool:
+        """Whether this process currently gets no declarations from the store."""
         if self._is_entry:
-            return self.operators.failing and not self.readers.covered
+            return self.operator_watch.failing and not self.readers.covered
         return self.beliefs.configuration is None
 
-    def _alone(self) -> bool:
-        """Whether peers of the region may lack what others have."""
-        return self._cut_off() or self.operators.lags(self.clock(), BEHIND_SECONDS)
+    def _region_may_lag(self) -> bool:
+        """Whether peers of the region may lack what other regions have."""
+        return self._is_cut_off() or self.operator_watch.is_lagging(
+            self.clock(), STALLED_CALL_SECONDS
+        )
 
-    async def _keep_reading(self) -> None:
-        """Read what operators declare from the store while no entry tells it."""
+    async def _run_fallback_reads(self) -> None:
+        """Read the declarations from the store while no entry sends them."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(JOINING_SECONDS):
-                await self._joined.wait()
-        read_from = self.clock() + self._turn(TOLD_WITHIN_SECONDS)
+            async with asyncio.timeout(MEMBERS_WAIT_SECONDS):
+                await self._members_known.wait()
+        read_from = self.clock() + self._own_read_delay(GOSSIP_WAIT_SECONDS)
         failures = 0
         while True:
             now = self.clock()
-            if self._lacks_word(now) and now >= read_from:
-                failures = 0 if await self._read_unless_told() else failures + 1
-                apart = min(CALM_SECONDS * (2**failures - 1), LONGEST_APART)
-                read_from = self.clock() + apart * self.rng.uniform(0.5, 1.0)
-            self._want_configuration(now)
-            await asyncio.sleep(CALM_SECONDS * self.rng.uniform(0.8, 1.2))
-
-    def _turn(self, patience: float = 0.0) -> float:
-        """Seconds for which this agent leaves reads of the store to others near by."""
+            if self._needs_store_read(now) and now >= read_from:
+                failures = 0 if await self._read_until_notified() else failures + 1
+                backoff = min(
+                    GOSSIP_INTERVAL_SECONDS * (2**failures - 1),
+                    MAX_READ_BACKOFF_SECONDS,
+                )
+                read_from = self.clock() + backoff * self.rng.uniform(0.5, 1.0)
+            self._schedule_configuration(now)
+            await asyncio.sleep(GOSSIP_INTERVAL_SECONDS * self.rng.uniform(0.8, 1.2))
+
+    def _own_read_delay(self, wait: float = 0.0) -> float:
+        """Return for how many seconds other agents of the region read first."""
         members = self.hearsay.members.values()
-        near = (m.vm for m in members if m.kind == AGENT and m.region == self.me.region)
-        return read_delay(self.me.region, self.me.vm, near, READING_AGENTS, patience)
-
-    def _want_configuration(self, now: float) -> None:
-        """Want a newer configuration now and then, until one near by was asked."""
-        if now - self._configured_at > CONFIGURED_SECONDS:
-            self._configured_at = now
-            self.hearsay.lacks.discard(CONFIGURATION)
+        nearby = (
+            m.vm for m in members if m.kind == AGENT and m.region == self.me.region
+        )
+        return read_delay(
+            self.me.region, self.me.vm, nearby, CONCURRENT_AGENT_READS, wait
+        )
+
+    def _schedule_configuration(self, now: float) -> None:
+        """Accept a newer configuration now and then, until a nearby peer replied."""
+        if now - self._configuration_wanted_at > CONFIGURATION_INTERVAL_SECONDS:
+            self._configuration_wanted_at = now
+            self.hearsay.unwanted.discard(CONFIGURATION)
         elif self.beliefs.configuration is not None:
-            # A peer far off is not asked for it while one near by answers.
-            asked = self.hearsay.near_heard_at > self._configured_at
-            if asked or now - self._configured_at > NEAR_HEARD_SECONDS:
-                self.hearsay.lacks.add(CONFIGURATION)
+            # A remote peer is not asked for it while a nearby one replies.
+            replied = self.hearsay.last_local_reply_at > self._configuration_wanted_at
+            if (
+                replied
+                or now - self._configuration_wanted_at > RECENT_LOCAL_REPLY_SECONDS
+            ):
+                self.hearsay.unwanted.add(CONFIGURATION)
 
-    async def _read_unless_told(self) -> bool:
-        """Read what operators declare, and stop when an entry tells it first.
+    async def _read_until_notified(self) -> bool:
+        """Read the declarations, and stop when an entry sends them first.
 
-        After a loss of power all agents of a region read at once over its link, which
-        takes seconds. The first entry that has the answer spares them the rest of it,
-        and the link what nobody needs any more.
+        After a power failure all agents of a region read at once over its link, which
+        takes seconds. The first entry that has the answer makes the remaining reads
+        unnecessary, and cancelling them frees the link.
 
         Returns
         -------
         known : bool
-            Whether it is known now, by the store or by an entry.
+            Whether the declarations are known now, from the store or from an entry.
         """
         read = asyncio.create_task(self.store.read(self.deployment.operators))
         try:
-            while not read.done() and self._lacks_word(self.clock()):
-                await asyncio.wait({read}, timeout=TOLD_SECONDS)
+            while not read.done() and self._needs_store_read(self.clock()):
+                await asyncio.wait({read}, timeout=GOSSIP_CHECK_SECONDS)
             if read.done():
-                self._took_operators(list(read.result().rows))
+                self._apply_operator_rows(list(read.result().rows))
         except (PlatformUnavailable, PlatformRefused) as exc:
             self.events.emit("table.unavailable", why=str(exc))
             return False
@@ -478,36 +530,41 @@
             read.cancel()
         return True
 
-    def _lacks_word(self, now: float) -> bool:
-        """Whether an agent has to ask the store, as no entry tells it anything."""
-        return self.beliefs.configuration is None or self._unheard(now)
+    def _needs_store_read(self, now: float) -> bool:
+        """Whether an agent has to read the store because no entry sends it anything."""
+        return self.beliefs.configuration is None or self._no_recent_gossip(now)
 
-    def _unheard(self, now: float) -> bool:
-        silent = now - max(self.beliefs.began, self.hearsay.heard_at)
-        return silent > UNHEARD_SECONDS and silent > UNHEARD_SECONDS + self._turn()
+    def _no_recent_gossip(self, now: float) -> bool:
+        idle_seconds = now - max(self.beliefs.began, self.hearsay.last_reply_at)
+        return (
+            idle_seconds > NO_GOSSIP_SECONDS
+            and idle_seconds > NO_GOSSIP_SECONDS + self._own_read_delay()
+        )
 
-    async def _keep_members(self) -> None:
-        began_again = await self._join()
-        if not began_again:
-            # Others have started at the same time, and were not there yet.
-            await asyncio.sleep(MEMBERS_SOON * self.rng.uniform(0.8, 1.2))
+    async def _run_member_reads(self) -> None:
+        restarted = await self._join_members()
+        if not restarted:
+            # Processes that started at the same time had not written their rows yet.
+            await asyncio.sleep(
+                MEMBERS_SECOND_READ_SECONDS * self.rng.uniform(0.8, 1.2)
+            )
             await self.read_members()
         while True:
-            pause = members_pause(len(self.hearsay.members))
-            await asyncio.sleep(pause * self.rng.uniform(0.8, 1.2))
+            interval = members_interval(len(self.hearsay.members))
+            await asyncio.sleep(interval * self.rng.uniform(0.8, 1.2))
             await self.read_members()
 
-    async def _join(self) -> bool:
-        """Read who is there, and write this process's row unless it is there.
+    async def _join_members(self) -> bool:
+        """Read the members, and write this process's row unless it is already there.
 
         Returns
         -------
-        began_again : bool
-            Whether it was: all that were there before are known then.
+        restarted : bool
+            Whether the row was there: then all earlier members are known as well.
         """
         while not await self.read_members():
             await asyncio.sleep(self.rng.uniform(0.5, 1.0))
-        self._joined.set()
+        self._members_known.set()
         if self.hearsay.members.get(self.me.vm) == self.me:
             return True
         while True:
@@ -520,6 +577,8 @@
             return False
 
 
-def members_pause(members: int) -> float:
-    """Seconds until the table of members is read again."""
-    return max(MEMBERS_LATER, members * MEMBER_BYTES / MEMBERS_RATE)
+def members_interval(members: int) -> float:
+    """Return the interval in seconds between reads of the members table."""
+    return max(
+        MEMBERS_MIN_INTERVAL_SECONDS, members * MEMBER_BYTES / MEMBERS_BYTES_PER_SECOND
+    )
--- a/packages/wasabideck_base/wasabideck_base/hearsay.py
+++ b/packages/wasabideck_base/wasabideck_base/hearsay.py
@@ -1,4 +1,4 @@
-"""Declarations that processes tell each other, with or without the store."""
+"""Gossip of declarations between processes, with or without the store."""
 
 from __future__ import annotations
 
@@ -19,76 +19,78 @@
 from .channels import LINK_FAILURES, Channels
 from .events import Events
 from .packing import MalformedContent
-from .table_watch import Followed, TableWatch
+from .table_watch import TablePosition, TableWatch
 from .told import (
+    AGE,
+    COMPRESSED,
     DECLARED,
     FOLLOWS,
-    NAMED,
-    PACKED,
     TABLE,
-    Ages,
-    Heard,
+    DeclarationAges,
+    ReaderReply,
     age_entries,
     declaration_entry,
     declaration_of,
-    followed_entry,
-    followed_of,
+    position_entry,
+    position_of,
     row_entry,
     rows_of,
 )
 
 __all__ = ["Hearsay", "HearsayService"]
 
-CALL_SECONDS = 0.7
-# A whole configuration may be 300 KB, and takes seconds over a link that all others
-# that start use as well: who has none gives an answer so long (seconds).
-FIRST_CALL_SECONDS = 3.0
-# A process asks one peer so often: with every second process cut off from the store
-# a change is with 99 in 100 of the others after seven asks (seconds).
-CALM_SECONDS = 1.0
-CUT_OFF_SECONDS = 0.2
-# Peers in the same region are asked so often, as the links between regions are thin.
-NEAR_PART = 0.7
-# A peer that gave no answer is not asked again for so long (seconds).
-SET_BACK_SECONDS = 3.0
-# While a peer of the region has answered in so long, peers of others are not asked for
-# configurations, which would cross the region's link once for each that asks: agents
-# ask one near by in a second or two (seconds).
-NEAR_HEARD_SECONDS = 3.0
-# Entries of a region that tell its agents of what they have just heard.
-TELLERS = 2
-# Requests that crashed a server are told of, the latest ones first, up to so many: 80
-# bytes each, and whatever ran on the server is among them.
-MOST_CRASHES_TOLD = 20
-# A number that no declaration reaches: whoever names it is sent nothing.
-ENOUGH = (1 << 63) - 1
+SYNC_TIMEOUT_SECONDS = 0.7
+# Timeout for the first reply to a process that has no declarations yet: a complete
+# configuration may have 300 KB, and takes seconds over a link that is shared with all
+# other processes that start at the same time.
+FIRST_SYNC_TIMEOUT_SECONDS = 3.0
+# Interval between gossip calls, each to one peer, in normal operation and while cut off
+# from the store. If half of the processes are cut off, a change has reached 99 in 100 of
+# them after seven calls.
+GOSSIP_INTERVAL_SECONDS = 1.0
+FAST_GOSSIP_INTERVAL_SECONDS = 0.2
+# Ratio of calls to peers in the same region, as links between regions are slow.
+LOCAL_PEER_RATIO = 0.7
+# Time for which a peer that did not reply is not called again.
+PEER_BACKOFF_SECONDS = 3.0
+# Peers of other regions are not asked for configurations for this long after a peer of
+# the region replied, as each copy would cross the region's link. Agents poll a peer of
+# their region every second or two.
+RECENT_LOCAL_REPLY_SECONDS = 3.0
+# Number of entries per region that notify its agents of new declarations.
+NOTIFYING_ENTRIES = 2
+# Maximum number of requests reported per message as having crashed servers, the latest
+# first: each takes 80 bytes, and every request that ran on a crashed server counts.
+MAX_CRASHES_SENT = 20
+# Number higher than that of any declaration: a peer that sends it receives none.
+SEND_NONE = (1 << 63) - 1
 
 
 @define
 class Hearsay:
-    """A process's declarations, and how it hears newer ones from its peers.
+    """A process's declarations, and their exchange with its peers.
 
     Attributes
     ----------
-    changed : callable
-        Given declarations that replaced what was known.
+    on_newer : callable
+        Called with declarations that replaced older ones, and their source.
     tables : dict of str to TableWatch
-        The tables that are followed here.
-    told : frozenset of str
-        Tables whose rows are told to peers that lack them.
-    asked : str
-        Kind of the members that are asked; empty for all.
-    lacks : set of str
-        Keys of declarations of which nothing newer is wanted here.
-    ages : Ages
-        When things were declared, as far as is known here.
+        Tables that this process watches.
+    replicated_tables : frozenset of str
+        Tables whose rows are sent to peers that lack them.
+    peer_kind : str
+        Kind of the members that are polled; empty for all.
+    unwanted : set of str
+        Keys of declarations of which no newer one is requested.
+    ages : DeclarationAges
+        Known ages of declarations.
     quarantine : Quarantine
-        Requests that crashed servers, as this process and its peers saw it.
-    following : callable
+        Requests that crashed servers, as seen by this process and its peers.
+    position : callable
         How far this process itself follows a table; None if it does not.
-    near_heard_at : float
-        When a peer of the region last answered, seconds.
-    alone : callable
+    last_local_reply_at : float
+        When a peer of the region last replied, seconds.
+    region_may_lag : callable
         Whether peers of the region may know no more than this process does.
     """
 
@@ -97,24 +99,24 @@
     events: Events
     clock: Callable[[], float]
     rng: random.Random
-    changed: Callable[[list[Declaration], str], None]
+    on_newer: Callable[[list[Declaration], str], None]
     tables: dict[str, TableWatch]
-    told: frozenset[str] = frozenset()
+    replicated_tables: frozenset[str] = frozenset()
     declarations: Declarations = field(factory=Declarations)
     members: dict[str, Member] = field(factory=dict)
     seeds: list[str] = field(factory=list)
-    asked: str = ""
-    lacks: set[str] = field(factory=set)
-    ages: Ages = Ages()
+    peer_kind: str = ""
+    unwanted: set[str] = field(factory=set)
+    ages: DeclarationAges = DeclarationAges()
     quarantine: Quarantine = field(factory=Quarantine)
-    following: Callable[[str], Followed | None] = lambda table: None
-    alone: Callable[[], bool] = lambda: False
-    heard_at: float = float("-inf")
-    near_heard_at: float = float("-inf")
-    _set_back: dict[str, float] = field(factory=dict)
+    position: Callable[[str], TablePosition | None] = lambda table: None
+    region_may_lag: Callable[[], bool] = lambda: False
+    last_reply_at: float = float("-inf")
+    last_local_reply_at: float = float("-inf")
+    _peer_retry_at: dict[str, float] = field(factory=dict)
 
     def merge(self, found: Iterable[Declaration], source: str) -> list[Declaration]:
-        """Take declarations in, and tell of those that are newer."""
+        """Merge declarations, and return those that are newer than the known ones."""
         newer = self.declarations.merge(found)
         for declaration in newer:
             self.events.emit(
@@ -124,87 +126,89 @@
                 source=source,
             )
         if newer:
-            self.changed(newer, source)
+            self.on_newer(newer, source)
         return newer
 
-    async def ask_one(self) -> None:
-        """Ask one peer, drawn at random, for what it knows that is newer."""
-        address = self._draw(self.clock())
+    async def sync_with_one(self) -> None:
+        """Request newer declarations from one peer, chosen at random."""
+        address = self._choose_peer(self.clock())
         if address is None:
             return
-        first = len(self.declarations) == 0
-        limit = FIRST_CALL_SECONDS if first else CALL_SECONDS
-        req = self._question()
-        if self._spares(address):
+        knows_none = len(self.declarations) == 0
+        timeout = FIRST_SYNC_TIMEOUT_SECONDS if knows_none else SYNC_TIMEOUT_SECONDS
+        req = self._sync_request()
+        if self._skips_configuration(address):
             for entry in req.entries:
                 if (entry.slot, entry.scope) == (DECLARED, CONFIGURATION):
-                    entry.ticket = ENOUGH
-        reply = await self._call(address, req, limit)
+                    entry.ticket = SEND_NONE
+        reply = await self._sync(address, req, timeout)
         if reply is None:
             return
-        self._hear(reply.entries, address)
-        self._hear_crashes(reply.quarantined)
+        self._apply_entries(reply.entries, address)
+        self._merge_crashes(reply.quarantined)
         for entry in reply.entries:
             if entry.slot == TABLE and entry.scope in self.tables:
-                self.tables[entry.scope].behind(entry.ticket)
-        for table in self.told:
-            self.tables[table].hear(rows_of(table, reply.entries))
+                self.tables[entry.scope].note_newer_row(entry.ticket)
+        for table in self.replicated_tables:
+            self.tables[table].merge_rows(rows_of(table, reply.entries))
 
-    async def ask_reader(self, address: str, table: str) -> Heard | None:
-        """Ask an entry near by whether it follows a table, and for what is newer.
+    async def poll_reader(self, address: str, table: str) -> ReaderReply | None:
+        """Ask a nearby entry whether it follows a table, and for anything newer.
 
         Returns
         -------
-        heard : Heard or None
-            None if it gave no answer.
+        reply : ReaderReply or None
+            None if the entry did not reply.
         """
-        req = self._question([table])
+        req = self._sync_request([table])
         req.entries.append(pb.Entry(scope=table, slot=FOLLOWS))
         req.ClearField("quarantined")
-        reply = await self._call(address, req, CALL_SECONDS)
+        reply = await self._sync(address, req, SYNC_TIMEOUT_SECONDS)
         if reply is None:
             return None
-        whole = self._hear(reply.entries, address) and not self.lacks
-        known = [e.ticket for e in reply.entries if (e.slot, e.scope) == (TABLE, table)]
-        followed = followed_of(table, reply.entries)
-        return Heard(followed, max(known, default=0), whole)
+        complete = self._apply_entries(reply.entries, address) and not self.unwanted
+        versions = [
+            e.ticket for e in reply.entries if (e.slot, e.scope) == (TABLE, table)
+        ]
+        position = position_of(table, reply.entries)
+        return ReaderReply(position, max(versions, default=0), complete)
 
-    async def _call(
-        self, address: str, req: pb.SyncRequest, limit: float
+    async def _sync(
+        self, address: str, req: pb.SyncRequest, timeout: float
     ) -> pb.SyncReply | None:
         channel = self.channels.get(address)
         try:
-            reply = await PeersStub(channel).Sync(req, timeout=limit)
+            reply = await PeersStub(channel).Sync(req, timeout=timeout)
         except LINK_FAILURES as exc:
             self.channels.drop(address, channel)
-            self._set_back[address] = self.clock() + SET_BACK_SECONDS
+            self._peer_retry_at[address] = self.clock() + PEER_BACKOFF_SECONDS
             self.events.emit("peer.silent", peer=address, why=type(exc).__name__)
             return None
         if reply.heard:
-            self.heard_at = self.clock()
+            self.last_reply_at = self.clock()
             if self._region_of(address) == self.me.region:
-                self.near_heard_at = self.heard_at
+                self.last_local_reply_at = self.last_reply_at
         return reply
 
-    def _spares(self, address: str) -> bool:
-        """Whether a peer far off is asked for all but the configuration."""
-        if self._region_of(address) == self.me.region or self.alone():
+    def _skips_configuration(self, address: str) -> bool:
+        """Whether a remote peer is asked for everything but the configuration."""
+        if self._region_of(address) == self.me.region or self.region_may_lag():
             return False
-        return self.clock() - self.near_heard_at < NEAR_HEARD_SECONDS
+        return self.clock() - self.last_local_reply_at < RECENT_LOCAL_REPLY_SECONDS
 
     def _region_of(self, address: str) -> str | None:
         found = (m.region for m in self.members.values() if m.address == address)
         return next(found, None)
 
-    async def tell(self, declarations: list[Declaration]) -> None:
-        """Tell the agents near by at once of what was heard first here.
+    async def notify_agents(self, declarations: list[Declaration]) -> None:
+        """Notify the agents of the region of declarations received here first.
 
-        Only the first few entries in rank do: each agent hears it twice or so, also
-        when one of them is cut off, and not from every entry.
+        Only the highest-ranked entries do so: an agent receives a declaration about
+        twice, even if one of these entries is cut off, and not once from every entry.
         """
         members = [m for m in self.members.values() if m.region == self.me.region]
         entries = {m.vm for m in members if m.kind == ENTRY} | {self.me.vm}
-        if self.me.vm not in rank(self.me.region, entries)[:TELLERS]:
+        if self.me.vm not in rank(self.me.region, entries)[:NOTIFYING_ENTRIES]:
             return
         agents = [m.address for m in members if m.kind == AGENT]
         await self.push(declarations, agents)
@@ -212,156 +216,167 @@
     async def push(
         self, declarations: list[Declaration], addresses: Iterable[str]
     ) -> None:
-        """Tell peers of declarations, and want nothing else in return."""
-        others = self.declarations.numbers().keys() - {d.key for d in declarations}
-        entries = self._entries(declarations)
-        entries += [pb.Entry(scope=k, slot=DECLARED, ticket=ENOUGH) for k in others]
+        """Send declarations to peers without requesting any in return."""
+        unsent = self.declarations.numbers().keys() - {d.key for d in declarations}
+        entries = self._declaration_entries(declarations)
+        entries += [pb.Entry(scope=k, slot=DECLARED, ticket=SEND_NONE) for k in unsent]
         req = pb.SyncRequest(vm=self.me.vm, entries=entries)
-        calls = (self._call(address, req, CALL_SECONDS) for address in addresses)
+        calls = (
+            self._sync(address, req, SYNC_TIMEOUT_SECONDS) for address in addresses
+        )
         await asyncio.gather(*calls)
 
-    def answer(self, req: pb.SyncRequest) -> pb.SyncReply:
-        """What a peer lacks of what is known here."""
-        theirs = {
-            e.scope: e.ticket for e in req.entries if e.slot in (DECLARED, PACKED)
+    def handle_sync(self, req: pb.SyncRequest) -> pb.SyncReply:
+        """Return a reply with everything that a peer lacks and this process knows."""
+        peer_numbers = {
+            e.scope: e.ticket for e in req.entries if e.slot in (DECLARED, COMPRESSED)
         }
-        self._hear(req.entries, req.vm)
-        self._hear_crashes(req.quarantined)
-        newer = self.declarations.newer_than(theirs)
-        entries = self._entries(newer)
-        told = {declaration.key for declaration in newer}
-        entries += self._running_ages(theirs.keys() - told)
-        asker = self.members.get(req.vm)
-        near = asker is not None and asker.region == self.me.region
+        self._apply_entries(req.entries, req.vm)
+        self._merge_crashes(req.quarantined)
+        newer = self.declarations.newer_than(peer_numbers)
+        entries = self._declaration_entries(newer)
+        sent_keys = {declaration.key for declaration in newer}
+        entries += self._unexpired_age_entries(peer_numbers.keys() - sent_keys)
+        peer = self.members.get(req.vm)
+        is_local = peer is not None and peer.region == self.me.region
         for entry in req.entries:
             watch = self.tables.get(entry.scope) if entry.slot == TABLE else None
             if watch is None:
                 continue
-            if watch.version >= 0 and near and entry.scope not in self.told:
-                watch.behind(entry.ticket)
+            if (
+                watch.version >= 0
+                and is_local
+                and entry.scope not in self.replicated_tables
+            ):
+                watch.note_newer_row(entry.ticket)
             if watch.newest <= entry.ticket:
                 continue
             entries.append(pb.Entry(scope=entry.scope, slot=TABLE, ticket=watch.newest))
-            if entry.scope in self.told:
-                entries += [row_entry(row) for row in watch.above(entry.ticket)]
-        asked = [e.scope for e in req.entries if e.slot == FOLLOWS]
-        for table in asked:
-            if (followed := self.following(table)) is not None:
-                entries.append(followed_entry(table, followed))
+            if entry.scope in self.replicated_tables:
+                entries += [
+                    row_entry(row) for row in watch.rows_newer_than(entry.ticket)
+                ]
+        polled_tables = [e.scope for e in req.entries if e.slot == FOLLOWS]
+        for table in polled_tables:
+            if (position := self.position(table)) is not None:
+                entries.append(position_entry(table, position))
         return pb.SyncReply(
             entries=entries,
             heard=len(self.declarations) > 0,
-            # Who asks for this word does so a few times a second.
-            quarantined=[] if asked else self._crashes(),
+            # Peers that poll a region reader do so several times a second.
+            quarantined=[] if polled_tables else self._recent_crashes(),
         )
 
-    def _hear(self, entries: Iterable[pb.Entry], source: str) -> bool:
-        """Take in what a peer tells; whether all of it could be read."""
-        found, whole = [], True
+    def _apply_entries(self, entries: Iterable[pb.Entry], source: str) -> bool:
+        """Apply a peer's entries; return whether all of them were readable."""
+        found, complete = [], True
         for entry in entries:
             try:
                 declaration = declaration_of(entry)
             except MalformedContent as exc:
                 self.events.emit("content.unreadable", source=source, why=str(exc))
-                whole = False
+                complete = False
                 continue
             if declaration is not None:
                 found.append(declaration)
         newer = self.merge(found, source)
-        named = [entry for entry in entries if entry.slot == NAMED]
-        for entry in named:
-            self.ages.heard(entry.scope, entry.ticket, entry.age_ms / 1000)
-        dated = {(entry.scope, entry.ticket) for entry in named}
+        reported = [entry for entry in entries if entry.slot == AGE]
+        for entry in reported:
+            self.ages.on_age(entry.scope, entry.ticket, entry.age_ms / 1000)
+        with_age = {(entry.scope, entry.ticket) for entry in reported}
         for declaration in newer:
-            if (declaration.key, declaration.number) not in dated:
-                self.ages.untold(declaration.key, declaration.number)
-        return whole
+            if (declaration.key, declaration.number) not in with_age:
+                self.ages.on_missing_age(declaration.key, declaration.number)
+        return complete
 
-    def _crashes(self) -> list[pb.Quarantined]:
-        told = crashes_to(self.quarantine, self.events.wall())
-        return sorted(told, key=lambda crash: crash.until)[-MOST_CRASHES_TOLD:]
+    def _recent_crashes(self) -> list[pb.Quarantined]:
+        crashes = crashes_to(self.quarantine, self.events.wall())
+        return sorted(crashes, key=lambda crash: crash.until)[-MAX_CRASHES_SENT:]
 
-    def _hear_crashes(self, told: Iterable[pb.Quarantined]) -> None:
-        crashes_from(self.quarantine, told, self.events.wall())
+    def _merge_crashes(self, crashes: Iterable[pb.Quarantined]) -> None:
+        crashes_from(self.quarantine, crashes, self.events.wall())
 
-    def _question(self, tables: Iterable[str] | None = None) -> pb.SyncRequest:
+    def _sync_request(self, tables: Iterable[str] | None = None) -> pb.SyncRequest:
         numbers = self.declarations.numbers()
         entries = [
             pb.Entry(
                 scope=key,
                 slot=DECLARED,
-                ticket=self._asked_from(key, number),
+                ticket=self._known_number(key, number),
             )
             for key, number in numbers.items()
         ]
-        entries += self._running_ages(numbers)
+        entries += self._unexpired_age_entries(numbers)
         entries += [
             pb.Entry(scope=table, slot=TABLE, ticket=self.tables[table].newest)
             for table in (self.tables if tables is None else tables)
         ]
         return pb.SyncRequest(
-            vm=self.me.vm, entries=entries, quarantined=self._crashes()
+            vm=self.me.vm, entries=entries, quarantined=self._recent_crashes()
         )
 
-    def _asked_from(self, key: str, number: int) -> int:
-        """The number that a peer is told is known here."""
-        if key in self.lacks:
-            return ENOUGH
-        # Without the newest one it tells that once more, and since when it holds.
-        return number - 1 if self.ages.unsure(key) else number
-
-    def _entries(self, declarations: Iterable[Declaration]) -> list[pb.Entry]:
-        """Declarations, and since when they hold where that is known."""
+    def _known_number(self, key: str, number: int) -> int:
+        """Return the number to send to a peer as the newest known one of a key."""
+        if key in self.unwanted:
+            return SEND_NONE
+        # With a lower number, the peer sends the newest declaration again, with its
+        # age.
+        return number - 1 if self.ages.is_uncertain(key) else number
+
+    def _declaration_entries(
+        self, declarations: Iterable[Declaration]
+    ) -> list[pb.Entry]:
+        """Return entries for declarations, and for their ages where known."""
         entries = []
         for declaration in declarations:
             key = declaration.key
             entries.append(declaration_entry(declaration))
-            entries += age_entries(key, self.ages.of(key))
+            entries += age_entries(key, self.ages.known(key))
         return entries
 
-    def _running_ages(self, keys: Iterable[str]) -> list[pb.Entry]:
-        """Ages, while a version's time is not over, also for who lacks no declaration.
+    def _unexpired_age_entries(self, keys: Iterable[str]) -> list[pb.Entry]:
+        """Return age entries of unexpired versions, also for peers that have them.
 
-        Whoever heard late, or stood still meanwhile, takes a version for younger than
-        it is, and has no other way to know.
+        A process that received a version late, or that was suspended meanwhile,
+        underestimates its age and has no other way to correct it.
         """
-        return [e for key in keys for e in age_entries(key, self.ages.running(key))]
+        return [e for key in keys for e in age_entries(key, self.ages.unexpired(key))]
 
-    def _draw(self, now: float) -> str | None:
+    def _choose_peer(self, now: float) -> str | None:
         others = [
             m
             for m in self.members.values()
-            if m.vm != self.me.vm and self.asked in ("", m.kind)
+            if m.vm != self.me.vm and self.peer_kind in ("", m.kind)
         ]
         known = {m.address for m in others}
-        open_ones = [a for a in known if self._set_back.get(a, 0.0) <= now]
-        if not open_ones:
-            # Nobody known answers: the seeds may know who is there.
-            seeds = [a for a in self.seeds if self._set_back.get(a, 0.0) <= now]
+        available = [a for a in known if self._peer_retry_at.get(a, 0.0) <= now]
+        if not available:
+            # No known peer replies: the seeds may know the current members.
+            seeds = [a for a in self.seeds if self._peer_retry_at.get(a, 0.0) <= now]
             return self.rng.choice(seeds) if seeds else None
-        near = {m.address for m in others if m.region == self.me.region}
-        close = [a for a in open_ones if a in near]
-        if close and self.rng.random() < NEAR_PART:
-            return self.rng.choice(sorted(close))
-        return self.rng.choice(sorted(open_ones))
+        local_addresses = {m.address for m in others if m.region == self.me.region}
+        local = [a for a in available if a in local_addresses]
+        if local and self.rng.random() < LOCAL_PEER_RATIO:
+            return self.rng.choice(sorted(local))
+        return self.rng.choice(sorted(available))
 
 
 @define
 class HearsayService(PeersBase):
-    """Answers peers that ask for newer declarations."""
+    """Serves peers that request newer declarations."""
 
     hearsay: Hearsay
 
     async def Sync(self, stream: Stream[pb.SyncRequest, pb.SyncReply]) -> None:
-        """Tell a peer what it lacks."""
+        """Send a peer what it lacks."""
         req = await stream.recv_message()
-        await stream.send_message(self.hearsay.answer(req))
+        await stream.send_message(self.hearsay.handle_sync(req))
 
     async def Status(self, stream: Stream) -> None:
-        """Nothing here: agents of this deployment serve no requests."""
+        """Reply with the VM name only: agents of this deployment serve no requests."""
         await stream.send_message(pb.StatusReply(vm=self.hearsay.me.vm))
 
     async def Watch(self, stream: Stream) -> None:
-        """As ``Status``, once."""
+        """Send the same reply as ``Status``, once."""
         await stream.recv_message()
         await stream.send_message(pb.StatusReply(vm=self.hearsay.me.vm))
--- a/packages/wasabideck_base/wasabideck_base/table_watch.py
+++ b/packages/wasabideck_base/wasabideck_base/table_watch.py
@@ -1,4 +1,4 @@
-"""Follows a table of the store through its outages, stale answers and lost history."""
+"""Follows a table of the store across outages, stale answers and lost history."""
 
 from __future__ import annotations
 
@@ -14,76 +14,77 @@
 from .http_answers import PlatformRefused, PlatformUnavailable
 from .rows import Changes, HistoryLost, Row, RowStore
 
-__all__ = ["Followed", "TableWatch"]
-
-# How long the store may hold an answer back while nothing changes: each call is paid
-# for, and a connection that went silent is found by its keep-alive probes.
-WAIT_SECONDS = 15.0
-# A process that others rely on tells that it follows the table for so long after the
-# time in which the store owed it an answer, or after the last byte of one: over a full
-# link an empty answer takes a few tenths of a second (seconds).
-OVERDUE_SECONDS = 0.4
-# After a change the next call waits a little: servers join and operators write in
-# bursts, and one answer then tells what would take a call for each (seconds).
+__all__ = ["TablePosition", "TableWatch"]
+
+# Maximum time for which the store may hold an answer while nothing changes. Each call
+# costs money, and keep-alive probes detect an unresponsive connection.
+LONG_POLL_SECONDS = 15.0
+# A process that others rely on keeps reporting that it follows the table for this long
+# after the store's answer was due, or after the last byte of an answer: over a full
+# link an empty answer takes a few tenths of a second.
+ANSWER_GRACE_SECONDS = 0.4
+# Delay after a change before the next call: servers join and operators write in bursts,
+# and one answer then contains what would otherwise take several calls.
 SETTLE_SECONDS = 0.4
-# Changes that follow each other so closely are a storm (seconds).
-STORM_SECONDS = 1.0
-# Rows told to a peer at once: more than leave or join at the same moment.
-MOST_TOLD = 64
-# A peer that knows a newer row has had it from an answer that should have come here,
-# too; so long is allowed for it (seconds).
-BEHIND_SECONDS = 0.8
-# An answer that the store gives later than this was held back until something changed
-# (seconds).
-HELD_SECONDS = 0.5
-# An answer is as old as this at the least, its way included where the store does not
-# tell when it answered (seconds).
-WAY_SECONDS = 0.1
-# Seconds in a second that two steady clocks drift apart at the most.
-MOST_DRIFT = 2e-4
-# Pauses between tries while the store gives no answer (seconds). The longest stays
-# under the time in which a change has to be in force after the store's return.
-FIRST_PAUSE = 0.15
-LONGEST_PAUSE = 0.8
-# What a longer time without an answer has kept from here counts from the store's return
-# for everyone: the longest pause, and an answer's time (seconds).
-LONGEST_UNHEARD = 1.0
+# Changes that follow each other within this interval form a burst.
+BURST_INTERVAL_SECONDS = 1.0
+# Maximum number of rows sent to a peer at once, which exceeds the number of servers
+# that leave or join at the same moment.
+MAX_ROWS_SENT = 64
+# Time allowed for a newer row that a peer knows to arrive here: the answer that brought
+# it to the peer should have come here as well.
+STALLED_CALL_SECONDS = 0.8
+# An answer later than this was held by the store until something changed.
+HELD_ANSWER_SECONDS = 0.5
+# Minimum age of an answer, its transit included, where the store does not report when
+# it answered.
+MIN_TRANSIT_SECONDS = 0.1
+# Maximum drift between two steady clocks, in seconds per second.
+MAX_CLOCK_DRIFT_RATIO = 2e-4
+# First and maximum backoff while the store does not answer. The maximum stays below the
+# time in which a change has to be in effect after the store's return.
+FIRST_BACKOFF_SECONDS = 0.15
+MAX_BACKOFF_SECONDS = 0.8
+# What was written during a longer time without an answer counts, for every process,
+# from at most this long before the store's return: the maximum backoff plus the time of
+# an answer.
+MAX_BACKDATING_SECONDS = 1.0
 
 
 @frozen
-class Followed:
-    """How far a process that follows a table has come.
+class TablePosition:
+    """How far a process follows a table.
 
     Attributes
     ----------
     version : int
-        Version of the store that it reflects.
-    lacked_for : float
-        Rows that it lacks were written in the last so many seconds.
+        Version of the store that its copy reflects.
+    staleness_seconds : float
+        Rows that the copy lacks were written within the last so many seconds.
     """
 
     version: int
-    lacked_for: float
+    staleness_seconds: float
 
 
 @define
-class _Owed:
-    """A row that a peer knows, and this process does not yet.
+class _MissingRow:
+    """A row that a peer knows and this process has not yet received.
 
     Attributes
     ----------
-    since : float
-        When it was first heard of, seconds.
-    quiet_from : float
-        From when on no byte came here, as far as was looked, seconds.
-    received : int
-        Bytes that had come by then.
+    first_seen_at : float
+        When a peer first reported the row, seconds.
+    idle_since : float
+        Start of the time in which no byte arrived, as far as was checked, seconds.
+    received_bytes : int
+        Bytes that had arrived by then.
     """
 
     version: int
-    since: float
-    quiet_from: float
-    received: int
+    first_seen_at: float
+    idle_since: float
+    received_bytes: int
 
 
 @define
@@ -92,299 +93,315 @@
 
     Attributes
     ----------
-    took : callable
-        Given each row that is new, also of removals.
-    whole : callable
-        Given all keys of the table after it was read whole.
-    returned : callable
-        Told for how many seconds the store had not answered when it does again.
-    rereads : bool
+    on_rows : callable
+        Called with new rows, including removals.
+    on_full_read : callable
+        Called with all rows of the table after a full read.
+    on_recovery : callable
+        Called with the length in seconds of an outage of the store, at its end.
+    prefers_full_read : bool
         Whether the whole table is small, and its rows are large and change often.
     version : int
         Version of the store that the copy reflects; -1 before the first read.
     newest : int
-        Version of the newest row that was heard of, removals counted.
-    heard_at : float
+        Version of the newest known row, including removals.
+    last_answer_at : float
         When the store last answered for this table, seconds.
-    wait : float
-        How long the store may hold an answer back, seconds.
-    settle : float
-        Pause after an answer with changes, for more of them to come, seconds.
-    told_from : float
-        From when on what its present answer tells may have been written, seconds.
-    adopted : int
-        Version up to which a peer told all that the table holds; -1 for none.
-    first_read_unchecked : bool
-        Whether nothing has shown yet that the first read was current: what it lacked
-        may be old.
+    wait_seconds : float
+        Maximum time for which the store may hold an answer.
+    settle_seconds : float
+        Delay after an answer with changes, in which more of them are collected.
+    written_since : float
+        Earliest time at which rows of the current answer may have been written.
+    adopted_version : int
+        Version up to which a peer sent all that the table holds; -1 for none.
+    first_read_unverified : bool
+        Whether nothing has confirmed yet that the first read was current: rows missing
+        in it may be old.
     """
 
     store: RowStore
     table: str
-    took: Callable[[list[Row]], None]
-    whole: Callable[[list[Row]], None]
-    returned: Callable[[float], None]
+    on_rows: Callable[[list[Row]], None]
+    on_full_read: Callable[[list[Row]], None]
+    on_recovery: Callable[[float], None]
     clock: Callable[[], float]
     events: Events
     rng: random.Random
-    rereads: bool = False
+    prefers_full_read: bool = False
     version: int = -1
     newest: int = 0
     _changed_at: float = float("-inf")
-    _complete_at: float = float("-inf")
-    _least_apart: float = float("inf")
-    _apart_at: float = float("-inf")
-    heard_at: float = float("-inf")
-    wait: float = WAIT_SECONDS
-    settle: float = SETTLE_SECONDS
-    told_from: float = float("inf")
-    adopted: int = -1
-    first_read_unchecked: bool = False
-    _adopted_from: float = float("-inf")
-    _hanging_from: float = float("inf")
-    _asked_at: float = float("-inf")
-    _moved_at: float = float("-inf")
-    _moved: int = 0
+    _complete_until: float = float("-inf")
+    _min_clock_offset: float = float("inf")
+    _clock_offset_at: float = float("-inf")
+    last_answer_at: float = float("-inf")
+    wait_seconds: float = LONG_POLL_SECONDS
+    settle_seconds: float = SETTLE_SECONDS
+    written_since: float = float("inf")
+    adopted_version: int = -1
+    first_read_unverified: bool = False
+    _adopted_complete_until: float = float("-inf")
+    _follow_started_at: float = float("inf")
+    _requested_at: float = float("-inf")
+    _bytes_arrived_at: float = float("-inf")
+    _bytes_received: int = 0
     _rows: dict[str, Row] = field(factory=dict)
     _failures: int = 0
     _failing_since: float = 0.0
-    _read_again: bool = True
-    _asking: asyncio.Task | None = None
-    _owed: _Owed | None = None
+    _needs_full_read: bool = True
+    _pending_call: asyncio.Task | None = None
+    _missing_row: _MissingRow | None = None
 
     @property
     def failing(self) -> bool:
-        """Whether the store gave no answer when it was last asked."""
+        """Whether the store did not answer the last call."""
         return self._failures > 0 or self.version < 0
 
     async def run(self) -> None:
-        """Follow the table for ever."""
+        """Follow the table until cancelled."""
         while True:
             try:
                 await self.step()
             except HistoryLost as exc:
                 self.events.emit("watch.history-lost", table=self.table, why=str(exc))
-                self._read_again = True
-                # A whole read may be stale, and what follows it lost again.
-                await asyncio.sleep(FIRST_PAUSE)
+                self._needs_full_read = True
+                # A full read may be stale, and the history after it lost again.
+                await asyncio.sleep(FIRST_BACKOFF_SECONDS)
             except (PlatformUnavailable, PlatformRefused) as exc:
-                self._failed(exc)
-                await asyncio.sleep(self._pause())
+                self._record_failure(exc)
+                await asyncio.sleep(self._next_backoff())
 
     async def step(self) -> None:
-        """One call: the whole table at first, then what has changed."""
-        if self._read_again:
+        """Make one call: read the whole table at first, then what has changed."""
+        if self._needs_full_read:
             await self._read()
         else:
             await self._follow()
 
-    def hear(self, rows: Iterable[Row]) -> None:
-        """Take in rows that a peer tells; the watch itself still has to bring them.
+    def merge_rows(self, rows: Iterable[Row]) -> None:
+        """Merge rows sent by a peer; the watch itself still has to receive them.
 
-        While the store turns this process away, or a connection to it is silent, a
-        server that leaves is known here a second later, and not when the call ends.
+        While the store refuses this process, or its connection is unresponsive, the
+        shutdown of a server becomes known within a second and not when the call ends.
         """
         if self.version < 0:
-            # Kept now and acted on later, they would be nothing new to the first read.
+            # Rows kept now would not count as new in the first read, and so would never
+            # be acted on.
             return
-        newer = [row for row in rows if row.version > self._known(row.key)]
+        newer = [row for row in rows if row.version > self._known_version(row.key)]
         for row in newer:
             self._rows[row.key] = row
         if newer:
             self.events.emit("rows.heard", table=self.table, rows=len(newer))
-            # A peer's word doesn't say when they were written.
-            self.told_from = self.clock()
-            self.took(newer)
+            # The peer does not report when the rows were written.
+            self.written_since = self.clock()
+            self.on_rows(newer)
 
-    def above(self, version: int) -> list[Row]:
-        """Rows that whoever has this version lacks, the newest ones if many."""
+    def rows_newer_than(self, version: int) -> list[Row]:
+        """Return the rows newer than a version, only the newest ones if many."""
         found = [row for row in self._rows.values() if row.version > version]
-        return sorted(found, key=lambda row: row.version)[-MOST_TOLD:]
+        return sorted(found, key=lambda row: row.version)[-MAX_ROWS_SENT:]
 
-    def _known(self, key: str) -> int:
+    def _known_version(self, key: str) -> int:
         row = self._rows.get(key)
         return row.version if row else -1
 
-    def behind(self, newest: int) -> None:
-        """Note that a peer knows a newer row: the present call may be silent.
+    def note_newer_row(self, newest: int) -> None:
+        """Record that a peer knows a newer row: the current call may be unresponsive.
 
-        One whose answer is coming goes on: over a full link it takes seconds, and
-        another one would bring all of it again.
+        A call whose answer is arriving continues: over a full link an answer takes
+        seconds, and a new call would transfer all of it again.
         """
         now, received = self.clock(), self.store.received(self.table)
         if newest <= self.newest:
             return
-        owed = self._owed
-        if owed is None or owed.version <= self.newest:
-            self._owed = _Owed(newest, now, now, received)
-        elif received > owed.received:
-            owed.quiet_from, owed.received = now, received
-        elif now - owed.quiet_from >= BEHIND_SECONDS and self._asking is not None:
+        missing = self._missing_row
+        if missing is None or missing.version <= self.newest:
+            self._missing_row = _MissingRow(newest, now, now, received)
+        elif received > missing.received_bytes:
+            missing.idle_since, missing.received_bytes = now, received
+        elif (
+            now - missing.idle_since >= STALLED_CALL_SECONDS
+            and self._pending_call is not None
+        ):
             self.events.emit("watch.behind", table=self.table, peer=newest)
-            self._owed = None
-            self._asking.cancel()
+            self._missing_row = None
+            self._pending_call.cancel()
 
-    def lags(self, now: float, seconds: float) -> bool:
-        """Whether a peer knew a newer row so long ago, and it did not come here."""
-        owed = self._owed
-        if owed is None or owed.version <= self.newest:
+    def is_lagging(self, now: float, seconds: float) -> bool:
+        """Whether a row that a peer knows has been missing here for so many seconds."""
+        missing = self._missing_row
+        if missing is None or missing.version <= self.newest:
             return False
-        return now - owed.since >= seconds
+        return now - missing.first_seen_at >= seconds
 
-    def lacked_from(self, now: float) -> float:
-        """From when on rows that are not here were written, as far as is known."""
-        if HELD_SECONDS < now - self._hanging_from <= self.wait:
-            return now - WAY_SECONDS
-        return max(self._complete_at, self._adopted_from)
+    def missing_since(self, now: float) -> float:
+        """Return the earliest time at which rows missing here may have been written."""
+        if HELD_ANSWER_SECONDS < now - self._follow_started_at <= self.wait_seconds:
+            return now - MIN_TRANSIT_SECONDS
+        return max(self._complete_until, self._adopted_complete_until)
 
-    def followed(self, now: float) -> Followed | None:
-        """How far the table was followed here; None while the store does not answer.
+    def position(self, now: float) -> TablePosition | None:
+        """Return how far the table is followed; None while the store does not answer.
 
-        A connection that has gone silent looks like one on which nothing changes, until
-        an answer is overdue.
+        An unresponsive connection looks like one on which nothing changes, until an
+        answer is overdue.
         """
         received = self.store.received(self.table)
-        if received > self._moved:
-            self._moved_at, self._moved = now, received
-        last = max(self.heard_at, self._asked_at, self._moved_at)
-        if self.failing or now - last > self.wait + OVERDUE_SECONDS:
+        if received > self._bytes_received:
+            self._bytes_arrived_at, self._bytes_received = now, received
+        last_activity_at = max(
+            self.last_answer_at, self._requested_at, self._bytes_arrived_at
+        )
+        if (
+            self.failing
+            or now - last_activity_at > self.wait_seconds + ANSWER_GRACE_SECONDS
+        ):
             return None
-        return Followed(self.version, now - self.lacked_from(now))
+        return TablePosition(self.version, now - self.missing_since(now))
 
-    def adopt(self, peer: Followed, newest: int, asked_at: float) -> None:
-        """Take a peer's place in the table for this one's.
+    def adopt_position(self, peer: TablePosition, newest: int, asked_at: float) -> None:
+        """Adopt a peer's position in the table.
 
-        Only for who lacks nothing that the peer has.
+        Valid only for a process that lacks nothing that the peer has.
 
         Parameters
         ----------
         newest : int
             Version of the newest row that the peer knows.
         asked_at : float
-            When the peer was asked, seconds.
+            When the peer was polled, seconds.
         """
         if peer.version >= self.version:
-            self._read_again = False
+            self._needs_full_read = False
             self.version = peer.version
-        self.first_read_unchecked = False
-        self.adopted = max(self.adopted, peer.version)
+        self.first_read_unverified = False
+        self.adopted_version = max(self.adopted_version, peer.version)
         self.newest = max(self.newest, newest)
-        self._adopted_from = max(self._adopted_from, asked_at - peer.lacked_for)
+        self._adopted_complete_until = max(
+            self._adopted_complete_until, asked_at - peer.staleness_seconds
+        )
 
-    def rest(self) -> None:
-        """Note that a peer follows the table in this one's place.
+    def mark_covered(self) -> None:
+        """Record that a peer now follows the table for this process.
 
-        Without a call of its own it has no outage of its own either.
+        Without a call of its own this process has no outage of its own either.
         """
         self._failures = 0
 
     async def _read(self) -> None:
-        lacked_at, longest = self._lacked()
+        missing_since, max_age = self._missing_bounds()
         asked_at = self.clock()
-        self.first_read_unchecked = self.first_read_unchecked or self.version < 0
-        changes = await self._ask(self.store.read(self.table))
+        self.first_read_unverified = self.first_read_unverified or self.version < 0
+        changes = await self._await_call(self.store.read(self.table))
         if changes.version < self.version:
-            # An answer from before what is known here would take rows away that
-            # have come since.
-            await asyncio.sleep(self._pause())
+            # An answer older than the copy would remove rows that were added since.
+            await asyncio.sleep(self._next_backoff())
             return
-        self._answered(changes, asked_at)
-        self._read_again = False
-        self.told_from = max(lacked_at, self._complete_at - longest)
-        self._take(changes)
-        self.whole(list(changes.rows))
+        self._record_answer(changes, asked_at)
+        self._needs_full_read = False
+        self.written_since = max(missing_since, self._complete_until - max_age)
+        self._apply(changes)
+        self.on_full_read(list(changes.rows))
 
     async def _follow(self) -> None:
-        lacked_at, longest = self._lacked()
-        asked_at = self._hanging_from = self.clock()
-        follow = self.store.follow(self.table, self.version, self.wait)
+        missing_since, max_age = self._missing_bounds()
+        asked_at = self._follow_started_at = self.clock()
+        follow = self.store.follow(self.table, self.version, self.wait_seconds)
         try:
-            changes = await self._ask(follow)
+            changes = await self._await_call(follow)
         finally:
-            self._hanging_from = float("inf")
+            self._follow_started_at = float("inf")
         if changes.version < self.version:
-            await asyncio.sleep(self._pause())
+            await asyncio.sleep(self._next_backoff())
             return
-        self._answered(changes, asked_at)
-        if HELD_SECONDS < self._complete_at - asked_at <= self.wait:
-            lacked_at = self._complete_at - WAY_SECONDS
-            self.first_read_unchecked = False
-        self.told_from = max(lacked_at, self._complete_at - longest)
-        self._take(changes)
-        self.first_read_unchecked = False
+        self._record_answer(changes, asked_at)
+        if HELD_ANSWER_SECONDS < self._complete_until - asked_at <= self.wait_seconds:
+            missing_since = self._complete_until - MIN_TRANSIT_SECONDS
+            self.first_read_unverified = False
+        self.written_since = max(missing_since, self._complete_until - max_age)
+        self._apply(changes)
+        self.first_read_unverified = False
         if not changes.rows:
             return
-        # The changes that come one after the other are all told, each whole; a table
-        # that is read tells only the last of them. Where operators write every few
-        # hundred ms, this keeps ten entries from filling a region's link.
+        # Following returns every change, each with the whole row; reading the table
+        # returns only the last one. Where operators write every few hundred ms, this
+        # keeps ten entries from filling a region's link.
         now = self.clock()
-        close = now - self._changed_at < STORM_SECONDS
-        self._read_again = close and self.rereads
+        in_burst = now - self._changed_at < BURST_INTERVAL_SECONDS
+        self._needs_full_read = in_burst and self.prefers_full_read
         self._changed_at = now
-        await asyncio.sleep(self.settle)
+        await asyncio.sleep(self.settle_seconds)
 
-    def _lacked(self) -> tuple[float, float]:
-        """From when on the next answer's rows were written, and how long at the most.
+    def _missing_bounds(self) -> tuple[float, float]:
+        """Return the earliest write time of the next answer's rows, and a maximum age.
 
-        Who has just lost the word of others asks the store later than those who had
-        a call under way, and not because the store was away.
+        A follower that has just lost its region readers calls the store later than
+        processes with a pending call, and not because the store had an outage.
         """
-        lacked_at = max(self._complete_at, self._adopted_from)
-        if self._failures or self._adopted_from <= self.heard_at:
-            return lacked_at, LONGEST_UNHEARD
-        return lacked_at, LONGEST_UNHEARD + COVERED_SECONDS
-
-    async def _ask(self, call: object) -> Changes:
-        """The answer to a call, which ``behind`` may break off."""
-        self._asking = asyncio.ensure_future(call)
-        self._asked_at = self.clock()
+        missing_since = max(self._complete_until, self._adopted_complete_until)
+        if self._failures or self._adopted_complete_until <= self.last_answer_at:
+            return missing_since, MAX_BACKDATING_SECONDS
+        return missing_since, MAX_BACKDATING_SECONDS + COVERED_SECONDS
+
+    async def _await_call(self, call: object) -> Changes:
+        """Return the answer to a call, which ``note_newer_row`` may cancel."""
+        self._pending_call = asyncio.ensure_future(call)
+        self._requested_at = self.clock()
         try:
-            return await self._asking
+            return await self._pending_call
         except asyncio.CancelledError:
             if asyncio.current_task().cancelling():
-                self._asking.cancel()
+                self._pending_call.cancel()
                 raise
-            raise PlatformUnavailable(self.table, "silent", False) from None
+            raise PlatformUnavailable(self.table, "no data received", False) from None
         finally:
-            self._asking = None
+            self._pending_call = None
 
-    def _take(self, changes: Changes) -> None:
-        newer = [r for r in changes.rows if r.version > self._known(r.key)]
+    def _apply(self, changes: Changes) -> None:
+        newer = [r for r in changes.rows if r.version > self._known_version(r.key)]
         for row in newer:
             self._rows[row.key] = row
             self.newest = max(self.newest, row.version)
         self.version = max(self.version, changes.version)
         if newer:
-            self.took(newer)
+            self.on_rows(newer)
 
-    def _answered(self, changes: Changes, asked_at: float) -> None:
-        self.heard_at = self.clock()
-        self._complete_at = self.heard_at - self._way(changes, asked_at)
+    def _record_answer(self, changes: Changes, asked_at: float) -> None:
+        self.last_answer_at = self.clock()
+        self._complete_until = self.last_answer_at - self._transit_seconds(
+            changes, asked_at
+        )
         if self._failures:
             self._failures = 0
-            lasted = self.heard_at - self._failing_since
-            self.events.emit("store.back", table=self.table, seconds=round(lasted, 3))
-            self.returned(lasted)
-
-    def _way(self, changes: Changes, asked_at: float) -> float:
-        """Seconds that an answer took here beyond the shortest way that was seen."""
+            outage_seconds = self.last_answer_at - self._failing_since
+            self.events.emit(
+                "store.back", table=self.table, seconds=round(outage_seconds, 3)
+            )
+            self.on_recovery(outage_seconds)
+
+    def _transit_seconds(self, changes: Changes, asked_at: float) -> float:
+        """Return an answer's transit time in excess of the shortest one so far."""
         if changes.answered_at is None:
             return 0.0
-        apart = self.heard_at - changes.answered_at
-        drift = MOST_DRIFT * (self.heard_at - self._apart_at)
-        self._least_apart = min(self._least_apart + max(0.0, drift), apart)
-        self._apart_at = self.heard_at
-        if apart - self._least_apart > self.heard_at - asked_at:
-            # Longer than the whole call: the store has another clock now.
-            self._least_apart = apart
-        return apart - self._least_apart
-
-    def _failed(self, exc: WasabideckError) -> None:
+        offset = self.last_answer_at - changes.answered_at
+        drift = MAX_CLOCK_DRIFT_RATIO * (self.last_answer_at - self._clock_offset_at)
+        self._min_clock_offset = min(self._min_clock_offset + max(0.0, drift), offset)
+        self._clock_offset_at = self.last_answer_at
+        if offset - self._min_clock_offset > self.last_answer_at - asked_at:
+            # Longer than the whole call: the store's clock has changed.
+            self._min_clock_offset = offset
+        return offset - self._min_clock_offset
+
+    def _record_failure(self, exc: WasabideckError) -> None:
         self._failures += 1
         if self._failures == 1:
             self._failing_since = self.clock()
             self.events.emit("store.lost", table=self.table, why=str(exc))
 
-    def _pause(self) -> float:
-        longest = min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** min(self._failures, 8))
-        return longest * self.rng.uniform(0.6, 1.0)
+    def _next_backoff(self) -> float:
+        max_backoff = min(
+            MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2 ** min(self._failures, 8)
+        )
+        return max_backoff * self.rng.uniform(0.6, 1.0)
--- a/packages/wasabideck_base/wasabideck_base/told.py
+++ b/packages/wasabideck_base/wasabideck_base/told.py
@@ -1,4 +1,4 @@
-"""What processes tell each other, as entries of the inner protocol's messages."""
+"""Gossip between processes, encoded as entries of the inner protocol's messages."""
 
 from __future__ import annotations
 
@@ -11,144 +11,144 @@
 
 from .packing import packed, unpacked
 from .rows import Row
-from .table_watch import Followed
+from .table_watch import TablePosition
 
 __all__ = [
     "DECLARED",
     "FOLLOWS",
-    "NAMED",
-    "PACKED",
+    "AGE",
+    "COMPRESSED",
     "TABLE",
-    "Ages",
-    "Heard",
+    "DeclarationAges",
+    "ReaderReply",
     "age_entries",
     "declaration_entry",
     "declaration_of",
-    "followed_entry",
-    "followed_of",
+    "position_entry",
+    "position_of",
     "row_entry",
     "rows_of",
 ]
 
-# What an entry tells of: a declaration, the same with its content packed, how long ago
-# a version was named, the newest row of a table, how far a process that follows a table
-# has come, a row, the removal of one.
+# Slots, the kinds of entries: a declaration, a declaration with compressed content, the
+# age of a declared version, the version of a table's newest row, how far a process
+# follows a table, a row, and the removal of a row.
 DECLARED = "declared"
-PACKED = "packed"
-NAMED = "named"
+COMPRESSED = "packed"
+AGE = "named"
 TABLE = "table"
 FOLLOWS = "follows"
 ROW = "row"
-GONE = "gone"
+REMOVED = "gone"
 
 
 @frozen
-class Ages:
-    """What a process knows of the times at which things were declared.
+class DeclarationAges:
+    """What a process knows of the ages of declarations.
 
     Attributes
     ----------
-    of : callable
-        Seconds since declarations of a key, by number; empty when not known.
-    running : callable
-        The same, empty when the time of all of them is over.
-    unsure : callable
-        Whether a key's newest declaration is known, and its time is only guessed.
-    heard : callable
-        Given a key, a number and an age that a peer tells.
-    untold : callable
-        Given a key and a newer number that a peer tells without an age.
+    known : callable
+        Ages of a key's declarations in seconds, by number; empty if unknown.
+    unexpired : callable
+        The same, but empty if all of them have expired.
+    is_uncertain : callable
+        Whether a key's newest declaration is known but its age only estimated.
+    on_age : callable
+        Called with a key, a number and the age that a peer reports.
+    on_missing_age : callable
+        Called with a key and a newer number that a peer sends without an age.
     """
 
-    of: Callable[[str], dict[int, float]] = lambda key: {}
-    running: Callable[[str], dict[int, float]] = lambda key: {}
-    unsure: Callable[[str], bool] = lambda key: False
-    heard: Callable[[str, int, float], None] = lambda key, number, age: None
-    untold: Callable[[str, int], None] = lambda key, number: None
+    known: Callable[[str], dict[int, float]] = lambda key: {}
+    unexpired: Callable[[str], dict[int, float]] = lambda key: {}
+    is_uncertain: Callable[[str], bool] = lambda key: False
+    on_age: Callable[[str, int, float], None] = lambda key, number, age: None
+    on_missing_age: Callable[[str, int], None] = lambda key, number: None
 
 
 @frozen
-class Heard:
-    """What an entry that may follow a table told of it.
+class ReaderReply:
+    """Reply of an entry that may follow a table.
 
     Attributes
     ----------
-    followed : Followed or None
-        How far it has come; None if it does not follow the table.
+    position : TablePosition or None
+        How far the entry follows the table; None if it does not.
     newest : int
-        Version of the newest row that it knows.
-    whole : bool
-        Whether all that it declared is known here now.
+        Version of the newest row that the entry knows.
+    is_complete : bool
+        Whether this process now has all declarations that the entry has.
     """
 
-    followed: Followed | None
+    position: TablePosition | None
     newest: int
-    whole: bool
+    is_complete: bool
 
 
 def age_entries(key: str, ages: dict[int, float]) -> list[pb.Entry]:
-    """Seconds since declarations of a key, by number."""
+    """Return entries with the ages of a key's declarations in seconds, by number."""
     return [
-        pb.Entry(scope=key, slot=NAMED, ticket=number, age_ms=int(age * 1000))
+        pb.Entry(scope=key, slot=AGE, ticket=number, age_ms=int(age * 1000))
         for number, age in ages.items()
     ]
 
 
 def declaration_entry(declaration: Declaration) -> pb.Entry:
-    """A declaration with its content, packed where that makes it smaller."""
-    small = packed(declaration.content)
-    shrinks = len(small) < len(declaration.content)
+    """Return the entry of a declaration, compressed where that makes it smaller."""
+    compressed = packed(declaration.content)
+    is_smaller = len(compressed) < len(declaration.content)
     return pb.Entry(
         scope=declaration.key,
-        slot=PACKED if shrinks else DECLARED,
+        slot=COMPRESSED if is_smaller else DECLARED,
         ticket=declaration.number,
-        change=small if shrinks else declaration.content,
+        change=compressed if is_smaller else declaration.content,
     )
 
 
 def declaration_of(entry: pb.Entry) -> Declaration | None:
-    """The declaration that an entry bears, None if it bears none.
+    """Return the declaration in an entry, or None if it contains none.
 
-    A question has numbers only. Raises ``MalformedContent``.
+    The entries of a request contain only numbers. Raises ``MalformedContent``.
     """
-    if entry.slot not in (DECLARED, PACKED) or not entry.change:
+    if entry.slot not in (DECLARED, COMPRESSED) or not entry.change:
         return None
     content = entry.change
-    if entry.slot == PACKED:
+    if entry.slot == COMPRESSED:
         content = unpacked(entry.scope, content)
     return Declaration(entry.scope, entry.ticket, content)
 
 
-def followed_entry(table: str, followed: Followed) -> pb.Entry:
-    """How far a table was followed here."""
+def position_entry(table: str, position: TablePosition) -> pb.Entry:
+    """Return the entry that reports how far this process follows a table."""
     return pb.Entry(
         scope=table,
         slot=FOLLOWS,
-        ticket=followed.version,
-        age_ms=math.ceil(followed.lacked_for * 1000),
+        ticket=position.version,
+        age_ms=math.ceil(position.staleness_seconds * 1000),
     )
 
 
-def followed_of(table: str, entries: Iterable[pb.Entry]) -> Followed | None:
-    """How far a peer has followed a table; None if it does not."""
+def position_of(table: str, entries: Iterable[pb.Entry]) -> TablePosition | None:
+    """Return how far a peer follows a table; None if it does not."""
     for entry in entries:
         if entry.slot == FOLLOWS and entry.scope == table:
-            return Followed(entry.ticket, entry.age_ms / 1000)
+            return TablePosition(entry.ticket, entry.age_ms / 1000)
     return None
 
 
 def row_entry(row: Row) -> pb.Entry:
-    """A row, or word of its removal."""
+    """Return the entry of a row or of its removal."""
     return pb.Entry(
         scope=f"{row.table}/{row.key}",
-        slot=GONE if row.removed else ROW,
+        slot=REMOVED if row.removed else ROW,
         ticket=row.version,
         change=row.value,
     )
 
 
 def rows_of(table: str, entries: Iterable[pb.Entry]) -> list[Row]:
-    """Rows of a table among entries."""
+    """Return the rows of a table among entries."""
     prefix = f"{table}/"
     return [
         Row(
@@ -156,8 +156,8 @@
             entry.scope.removeprefix(prefix),
             entry.change,
             entry.ticket,
-            entry.slot == GONE,
+            entry.slot == REMOVED,
         )
         for entry in entries
-        if entry.slot in (ROW, GONE) and entry.scope.startswith(prefix)
+        if entry.slot in (ROW, REMOVED) and entry.scope.startswith(prefix)
     ]
--- a/packages/wasabideck_base/wasabideck_base/version_dates.py
+++ b/packages/wasabideck_base/wasabideck_base/version_dates.py
@@ -1,8 +1,8 @@
-"""Dates at which versions were named, in the store for processes that begin later.
+"""Declaration times of versions, published in the store for processes that start later.
 
-The store tells the newest version's number and not its age, and a process that begins
-has nobody to ask when all begin at once. So entries that see a version named publish
-its date, by the store's own clock, which all processes share.
+The store returns the number of the newest version but not its age, and after a full
+restart of the deployment no running process knows it. So entries that see a version
+declared publish its time by the store's clock, which all processes share.
 """
 
 from __future__ import annotations
@@ -21,65 +21,65 @@
 from .http_answers import PlatformRefused, PlatformUnavailable
 from .rows import Changes, Row, RowStore, RowWrite, WriteConflict
 
-__all__ = ["DATES", "MalformedDates", "VersionDates", "dates_of"]
+__all__ = ["TIMES_TABLE", "MalformedDates", "DeclarationTimes", "declaration_times_of"]
 
-DATES = "wasabideck-version-dates"
-# Version of a row that is not there.
-ABSENT = 0
-# The longer an answer takes, the older a version is taken for: one that takes longer is
-# asked for again (seconds).
-READ_SECONDS = 0.5
-# Pauses between tries (seconds).
-FIRST_PAUSE = 0.2
-LONGEST_PAUSE = 3.0
-# The entry that is next in rank waits so much longer before it looks whether the dates
-# are published, so that one of a region writes them (seconds).
-RANK_SECONDS = 0.2
-LONGEST_RANK_SECONDS = 1.0
+TIMES_TABLE = "wasabideck-version-dates"
+# Version of a row that does not exist.
+ABSENT_VERSION = 0
+# The longer an answer takes, the more a version's age is overestimated: a read that
+# takes longer than this is repeated.
+READ_TIMEOUT_SECONDS = 0.5
+# First and maximum backoff between attempts.
+FIRST_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 3.0
+# Delay per rank before an entry checks whether the times are published, so that only
+# one entry of a region writes them, and its maximum.
+RANK_DELAY_SECONDS = 0.2
+MAX_RANK_DELAY_SECONDS = 1.0
 
 
 class MalformedDates(WasabideckError):
-    """A row of dates cannot be read; names the row and its value."""
+    """A row of declaration times is unreadable; the text has its key and value."""
 
     status = 400
 
     def __init__(self, row: Row):
-        super().__init__(f"{DATES}/{row.key}: {row.value!r}"[:300])
+        super().__init__(f"{TIMES_TABLE}/{row.key}: {row.value!r}"[:300])
         self.key = row.key
         self.value = row.value
 
 
-def dates_of(row: Row) -> dict[int, float]:
-    """Dates by version, seconds of the store's clock; raises ``MalformedDates``."""
+def declaration_times_of(row: Row) -> dict[int, float]:
+    """Return times by version in the store's clock; raises ``MalformedDates``."""
     try:
-        dates = {int(n): float(at) for n, at in orjson.loads(row.value).items()}
+        times = {int(n): float(at) for n, at in orjson.loads(row.value).items()}
     except (ValueError, TypeError, AttributeError) as exc:
         raise MalformedDates(row) from exc
-    if not all(map(math.isfinite, dates.values())):
+    if not all(map(math.isfinite, times.values())):
         raise MalformedDates(row)
-    return dates
+    return times
 
 
 @define
-class VersionDates:
-    """Publishes dates of versions in the store, and looks up those unknown here.
+class DeclarationTimes:
+    """Publishes declaration times in the store, and looks up those unknown here.
 
     Attributes
     ----------
     ages : callable
-        Seconds since a model's versions were named, by number; empty when not known.
-    undated : callable
-        Models with a version whose age is not known.
-    on_date : callable
-        Given a model, a version and since when it is named, seconds of ``clock``.
+        Ages of a model's versions in seconds, by number; empty if unknown.
+    unknown_models : callable
+        Models with a version of unknown age.
+    on_declaration_time : callable
+        Called with a model, a version and its declaration time, seconds of ``clock``.
     rank : callable
-        Place of this entry among those that publish dates, from 0.
+        Rank of this entry among those that publish times, from 0.
     """
 
     store: RowStore
     ages: Callable[[str], dict[int, float]]
-    undated: Callable[[], list[str]]
-    on_date: Callable[[str, int, float], None]
+    unknown_models: Callable[[], list[str]]
+    on_declaration_time: Callable[[str, int, float], None]
     rank: Callable[[], int]
     clock: Callable[[], float]
     events: Events
@@ -88,33 +88,35 @@
     _lookup_due: asyncio.Event = field(factory=asyncio.Event)
     _publishing_due: asyncio.Event = field(factory=asyncio.Event)
 
-    def look_up(self) -> None:
-        """Note that a version was heard of whose date may be older than is known."""
+    def request_lookup(self) -> None:
+        """Request a lookup for a version that may be older than is known here."""
         self._lookup_due.set()
 
-    def publish(self, model: str) -> None:
-        """Note that a version of a model was seen named."""
+    def request_publishing(self, model: str) -> None:
+        """Request publishing for a model of which a version was seen declared."""
         self._unpublished.add(model)
         self._publishing_due.set()
 
     async def run_lookups(self) -> None:
-        """Look up dates whenever that is due, for ever."""
+        """Look up declaration times on request, until cancelled."""
         while True:
             await self._lookup_due.wait()
             self._lookup_due.clear()
-            await self._repeat(self._look_up_all)
+            await self._retry(self._look_up_all)
 
     async def run_publishing(self) -> None:
-        """Publish dates whenever a version was seen named, for ever."""
+        """Publish declaration times on request, until cancelled."""
         while True:
             await self._publishing_due.wait()
             self._publishing_due.clear()
-            await asyncio.sleep(min(RANK_SECONDS * self.rank(), LONGEST_RANK_SECONDS))
-            await self._repeat(self._publish_all)
-
-    async def _repeat(self, step: Callable) -> None:
-        """Try until a step is done, further apart each time."""
-        pause = FIRST_PAUSE
+            await asyncio.sleep(
+                min(RANK_DELAY_SECONDS * self.rank(), MAX_RANK_DELAY_SECONDS)
+            )
+            await self._retry(self._publish_all)
+
+    async def _retry(self, step: Callable) -> None:
+        """Repeat a step with increasing backoff until it succeeds."""
+        backoff = FIRST_BACKOFF_SECONDS
         while True:
             try:
                 if await step():
@@ -122,65 +124,65 @@
             except (PlatformUnavailable, PlatformRefused, TimeoutError) as exc:
                 why = f"{type(exc).__name__}: {exc}"
                 self.events.emit("dates.unavailable", why=why)
-            await asyncio.sleep(pause * self.rng.uniform(0.6, 1.0))
-            pause = min(2 * pause, LONGEST_PAUSE)
+            await asyncio.sleep(backoff * self.rng.uniform(0.6, 1.0))
+            backoff = min(2 * backoff, MAX_BACKOFF_SECONDS)
 
     async def _look_up_all(self) -> bool:
-        """Read the published dates; whether none is unknown any more."""
+        """Read the published times; return whether none is unknown any more."""
         await self._read()
-        return not self.undated()
+        return not self.unknown_models()
 
     async def _publish_all(self) -> bool:
-        """Publish what is not published yet; whether that is done."""
+        """Publish all unpublished times; return whether that is done."""
         for model in sorted(self._unpublished):
             if await self._publish(model):
                 self._unpublished.discard(model)
         return not self._unpublished
 
     async def _publish(self, model: str) -> bool:
-        """Publish a model's dates unless another entry has; whether that is done."""
+        """Publish a model's times unless another entry has; return whether done."""
         rows, offset = await self._read()
         ages = self.ages(model)
         if not ages:
-            return model not in self.undated()
-        kept = rows.get(model, Row(DATES, model, b"", ABSENT))
-        if max(_readable(kept), default=0) >= max(ages):
+            return model not in self.unknown_models()
+        published = rows.get(model, Row(TIMES_TABLE, model, b"", ABSENT_VERSION))
+        if max(_times_or_empty(published), default=0) >= max(ages):
             return True
         now = self.clock()
-        dates = {str(n): round(now - age + offset, 3) for n, age in ages.items()}
-        write = RowWrite(DATES, model, orjson.dumps(dates))
+        times = {str(n): round(now - age + offset, 3) for n, age in ages.items()}
+        write = RowWrite(TIMES_TABLE, model, orjson.dumps(times))
         try:
-            await self.store.write([write], [kept])
+            await self.store.write([write], [published])
         except WriteConflict:
             return False
         self.events.emit("dates.published", model=model, versions=sorted(ages))
         return True
 
     async def _read(self) -> tuple[dict[str, Row], float]:
-        """Rows by model, and the store's clock less this one, at the least."""
+        """Return rows by model, and the minimum offset of the store's clock."""
         asked_at = self.clock()
-        async with asyncio.timeout(READ_SECONDS):
-            changes = await self.store.read(DATES)
+        async with asyncio.timeout(READ_TIMEOUT_SECONDS):
+            changes = await self.store.read(TIMES_TABLE)
         if changes.answered_at is None:
-            raise PlatformUnavailable(DATES, "no clock", False)
-        self._take_in(changes, changes.answered_at - asked_at)
+            raise PlatformUnavailable(TIMES_TABLE, "no time in the answer", False)
+        self._apply_times(changes, changes.answered_at - asked_at)
         rows = {row.key: row for row in changes.rows}
         return rows, changes.answered_at - self.clock()
 
-    def _take_in(self, changes: Changes, offset: float) -> None:
-        """Take in published dates; ``offset`` is the store's clock less this one."""
+    def _apply_times(self, changes: Changes, offset: float) -> None:
+        """Apply published times; ``offset`` is the store's clock minus this clock."""
         for row in changes.rows:
             try:
-                dates = dates_of(row)
+                times = declaration_times_of(row)
             except MalformedDates as exc:
                 self.events.emit("row.unreadable", why=str(exc))
                 continue
             now = self.clock()
-            for number, date in dates.items():
-                self.on_date(row.key, number, min(date - offset, now))
+            for number, time in times.items():
+                self.on_declaration_time(row.key, number, min(time - offset, now))
 
 
-def _readable(row: Row) -> dict[int, float]:
+def _times_or_empty(row: Row) -> dict[int, float]:
     with contextlib.suppress(MalformedDates):
-        return dates_of(row)
+        return declaration_times_of(row)
     return {}
--- a/tests/beliefs/region.py
+++ b/tests/beliefs/region.py
@@ -17,7 +17,7 @@
 from wasabideck_policy.membership import ENTRY, Member
 
 REGION = "r"
-LOOK_SECONDS = 0.005
+CHECK_INTERVAL_SECONDS = 0.005
 
 
 class Store:
@@ -166,7 +166,7 @@
     began = loop.time()
     async with asyncio.timeout(seconds):
         while not found():
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
     return loop.time() - began
 
 
--- a/tests/beliefs/test_believer.py
+++ b/tests/beliefs/test_believer.py
@@ -9,9 +9,9 @@
 from wasabideck_adapter.deployment import DEPLOYMENT
 from wasabideck_base.believer import (
     MEMBER_BYTES,
-    MEMBERS_RATE,
+    MEMBERS_BYTES_PER_SECOND,
     Believer,
-    members_pause,
+    members_interval,
 )
 from wasabideck_base.channels import Channels
 from wasabideck_base.events import Clock, Events
@@ -59,7 +59,7 @@
     row = Row("op", "version/m", b'{"model":"m","version":%d}' % number, number)
 
     async def run():
-        believer._took_operators([row])
+        believer._apply_operator_rows([row])
 
     asyncio.run(run())
 
@@ -70,7 +70,7 @@
 
 
 def test_a_version_named_while_the_process_runs_has_its_whole_time(believer, clock):
-    believer._whole_operators([])
+    believer._note_operators_read([])
     clock[0] += 60.0
     name_version(believer, 2)
     clock[0] += 7.0
@@ -127,7 +127,7 @@
     # Entries are stopped and started in turn while a version is named. Each that had
     # started less than three seconds before refused all drafts for seven seconds, as it
     # took the version for one that had been named long ago.
-    believer._whole_operators([])
+    believer._note_operators_read([])
     clock[0] += 1.0
     name_version(believer, 2)
     clock[0] += 7.0
@@ -146,9 +146,9 @@
 
 
 def tells(believer):
-    """Ages in seconds that a peer would be told, by number."""
+    """DeclarationAges in seconds that a peer would be told, by number."""
     key = weights_key("m")
-    entries = believer.hearsay._entries([Declaration(key, 9, b"{}")])
+    entries = believer.hearsay._declaration_entries([Declaration(key, 9, b"{}")])
     return {e.ticket: e.age_ms / 1000 for e in entries if e.slot == "named"}
 
 
@@ -157,9 +157,9 @@
     # times, and the entry refused all drafts until the version was in force.
     clock[0] += 0.2
     name_version(believer, 2)
-    asked = believer.hearsay._question().entries
+    asked = believer.hearsay._sync_request().entries
     assert [entry.ticket for entry in asked if entry.slot == "declared"] == [1]
-    believer.hearsay._hear(told((2, 2.2)), "peer")
+    believer.hearsay._apply_entries(told((2, 2.2)), "peer")
     clock[0] += 5.0
     assert due(believer, clock) == 0
     clock[0] += 0.2
@@ -172,7 +172,7 @@
     clock[0] += 0.2
     name_version(believer, 2)
     assert tells(believer) == {}
-    believer.hearsay._hear(told((2, 2.2)), "peer")
+    believer.hearsay._apply_entries(told((2, 2.2)), "peer")
     assert tells(believer) == {2: pytest.approx(2.2)}
 
 
@@ -182,7 +182,7 @@
     # drafts to version 1 two seconds after the time of version 2 was over.
     clock[0] += 0.2
     name_version(believer, 3)
-    believer.hearsay._hear(told((2, 4.0), (3, 2.0)), "peer")
+    believer.hearsay._apply_entries(told((2, 4.0), (3, 2.0)), "peer")
     assert due(believer, clock) == 0
     assert tells(believer) == {2: pytest.approx(4.0), 3: pytest.approx(2.0)}
     clock[0] += 3.4
@@ -196,7 +196,7 @@
     # another one would take itself to know of all that is due.
     clock[0] += 0.2
     name_version(believer, 2)
-    believer._whole_operators([])
+    believer._note_operators_read([])
     name_version(believer, 3)
     assert tells(believer) == {}
     assert due(believer, clock) == 2
@@ -211,14 +211,14 @@
     # stood still, or its watch had gone silent. Each took the time at which it heard
     # for certain, and the later one sent drafts to version 1 for 0.9 s too long.
     clock[0] += 60.0
-    believer._whole_operators([])
+    believer._note_operators_read([])
     name_version(believer, 2)
-    believer.hearsay._hear(told((2, 0.9)), "peer")
+    believer.hearsay._apply_entries(told((2, 0.9)), "peer")
     clock[0] += 6.35
     assert due(believer, clock) == 0
     clock[0] += 0.1
     assert due(believer, clock) == 2
-    believer.hearsay._hear(told((2, 1.0)), "who heard later still")
+    believer.hearsay._apply_entries(told((2, 1.0)), "who heard later still")
     assert due(believer, clock) == 2
 
 
@@ -227,18 +227,18 @@
     # put the later one right.
     key = weights_key("m")
     clock[0] += 60.0
-    believer._whole_operators([])
+    believer._note_operators_read([])
     name_version(believer, 2)
     clock[0] += 1.0
     asked = pb.SyncRequest(entries=[pb.Entry(scope=key, slot="declared", ticket=2)])
     for entries in (
-        believer.hearsay._question().entries,
-        believer.hearsay.answer(asked).entries,
+        believer.hearsay._sync_request().entries,
+        believer.hearsay.handle_sync(asked).entries,
     ):
         ages = [(e.ticket, e.age_ms) for e in entries if e.slot == "named"]
         assert ages == [(2, 1000)]
     clock[0] += believer.cfg.bounds.version
-    over = [e for e in believer.hearsay._question().entries if e.slot == "named"]
+    over = [e for e in believer.hearsay._sync_request().entries if e.slot == "named"]
     assert over == []
 
 
@@ -255,7 +255,7 @@
             clock[0] = asked_at
             believer.store.read = believer.store.follow = answer
             believer.store.received = lambda table: 0
-            await believer.operators.step()
+            await believer.operator_watch.step()
 
     asyncio.run(run())
 
@@ -322,7 +322,7 @@
     # heard late stayed late.
     clock[0] += 0.2
     name_version(believer, 2)
-    believer._whole_operators([])
+    believer._note_operators_read([])
     clock[0] += believer.cfg.bounds.version - 0.1
     name_version(believer, 3)
     assert tells(believer) == {}
@@ -335,7 +335,7 @@
     # again. Told of version 3 alone it took version 1 as good until 3 was due, and sent
     # drafts to it up to 4 s after it was over.
     clock[0] += 60.0
-    believer._whole_operators([])
+    believer._note_operators_read([])
     for number, pause in ((1, 30.0), (2, 9.0), (3, 2.6)):
         name_version(believer, number)
         clock[0] += pause
@@ -353,31 +353,31 @@
     # reached it before any answer to its own, and told the age of version 3 alone: that
     # was taken for all there is to know, and drafts went to version 1.
     clock[0] += 60.0
-    believer._whole_operators([])
+    believer._note_operators_read([])
     for number, pause in ((2, 9.0), (3, 2.6)):
         name_version(believer, number)
         clock[0] += pause
-    asked = believer.hearsay._question().entries
+    asked = believer.hearsay._sync_request().entries
     assert {e.ticket for e in asked if e.slot == "named"} == {2, 3}
 
 
 def test_a_version_known_by_its_age_alone_is_acted_on(believer, clock):
-    # Ages come with every question, and may tell of a version before its declaration
+    # DeclarationAges come with every question, and may tell of a version before its declaration
     # does: an agent that was not woken by it began to fetch half a second later.
     news = []
     believer.on_version = lambda model, number: news.append((model, number))
     clock[0] += 60.0
-    believer.hearsay._hear(told((2, 0.5)), "peer")
-    believer.hearsay._hear(told((2, 0.7)), "peer")
+    believer.hearsay._apply_entries(told((2, 0.5)), "peer")
+    believer.hearsay._apply_entries(told((2, 0.7)), "peer")
     assert news == [("m", 2)]
 
 
 def test_nobody_is_asked_for_times_for_ever(believer, clock):
     clock[0] += 0.2
     name_version(believer, 2)
-    assert believer._unsure(weights_key("m"))
+    assert believer._is_uncertain(weights_key("m"))
     clock[0] += believer.cfg.bounds.stable
-    assert not believer._unsure(weights_key("m"))
+    assert not believer._is_uncertain(weights_key("m"))
 
 
 def server_row(key, version, state="ready", **more):
@@ -393,24 +393,24 @@
     # on doing so. One answer told of a change of its entry and then of its removal:
     # removals were taken in first, and the older row put it back for good.
     backends = believer.beliefs.backends
-    believer._took_servers([server_row("i-1", 5), server_row("i-2", 6)])
+    believer._apply_server_rows([server_row("i-1", 5), server_row("i-2", 6)])
     gone = Row("servers", "i-1", b"", 9, removed=True)
-    believer._took_servers([server_row("i-1", 8, before), gone])
+    believer._apply_server_rows([server_row("i-1", 8, before), gone])
     assert [b.server for b in backends.of_service("s", clock[0])] == ["i-2"]
     assert backends.names() == {"i-2"}
 
 
 def test_a_server_that_is_gone_and_listed_again_in_one_answer_is_there(believer, clock):
-    believer._took_servers([server_row("i-1", 5)])
+    believer._apply_server_rows([server_row("i-1", 5)])
     gone = Row("servers", "i-1", b"", 8, removed=True)
-    believer._took_servers([gone, server_row("i-1", 9)])
+    believer._apply_server_rows([gone, server_row("i-1", 9)])
     found = believer.beliefs.backends.of_service("s", clock[0])
     assert [b.server for b in found] == ["i-1"]
 
 
 def test_rows_of_other_writers_change_nothing(believer):
     rows = [Row("servers", "i-1", b"\xff", 5), Row("servers", "i-2", b"{}", 6)]
-    believer._took_servers(rows)
+    believer._apply_server_rows(rows)
     assert len(believer.beliefs.backends) == 0
 
 
@@ -419,37 +419,39 @@
     # on with the former engines and origin for ten seconds more.
     hearsay = believer.hearsay
     believer.beliefs.configuration = object()
-    hearsay.near_heard_at = clock[0] - 0.5
+    hearsay.last_local_reply_at = clock[0] - 0.5
     wanted = []
     for near_heard in (False, False, True, False):
         if near_heard:
-            hearsay.near_heard_at = clock[0]
-        believer._want_configuration(clock[0])
-        wanted.append(CONFIGURATION not in hearsay.lacks)
+            hearsay.last_local_reply_at = clock[0]
+        believer._schedule_configuration(clock[0])
+        wanted.append(CONFIGURATION not in hearsay.unwanted)
         clock[0] += 1.0
     assert wanted == [True, True, False, False]
     clock[0] += 10.0
-    believer._want_configuration(clock[0])
+    believer._schedule_configuration(clock[0])
     clock[0] += 3.1
-    believer._want_configuration(clock[0])
-    assert CONFIGURATION in hearsay.lacks
+    believer._schedule_configuration(clock[0])
+    assert CONFIGURATION in hearsay.unwanted
 
 
 def test_an_entry_that_lags_asks_far_for_configurations(believer, clock):
     # Calls of its whole region are silent, and those near by answer.
     answers_in_turn(believer, clock, (clock[0], clock[0], Changes((), 1)))
-    assert not believer._alone()
-    believer.operators.behind(7)
+    assert not believer._region_may_lag()
+    believer.operator_watch.note_newer_row(7)
     clock[0] += 1.0
-    assert believer._alone()
-    believer.operators._failures = 1
-    assert believer._alone()
+    assert believer._region_may_lag()
+    believer.operator_watch._failures = 1
+    assert believer._region_may_lag()
 
 
 @pytest.mark.parametrize("members", [10, 172, 1810, 20_000])
 def test_reads_of_the_members_take_few_bytes_whatever_their_number(members):
     # Guards against a table of members that fills links at the target size.
-    assert members * MEMBER_BYTES / members_pause(members) <= MEMBERS_RATE
+    assert (
+        members * MEMBER_BYTES / members_interval(members) <= MEMBERS_BYTES_PER_SECOND
+    )
 
 
 def test_entries_near_by_are_counted_apart(believer):
@@ -474,5 +476,8 @@
     # Guards against entries that ask the store for each of a hundred servers that are
     # added one after the other, and against word of one that leaves coming too late.
     drain = believer.cfg.bounds.drain
-    assert 0.4 <= believer.servers.settle <= drain / 4
-    assert believer.beliefs.backends.mass_seconds < drain - believer.servers.settle
+    assert 0.4 <= believer.server_watch.settle_seconds <= drain / 4
+    assert (
+        believer.beliefs.backends.mass_seconds
+        < drain - believer.server_watch.settle_seconds
+    )
--- a/tests/beliefs/test_cold_start.py
+++ b/tests/beliefs/test_cold_start.py
@@ -65,9 +65,9 @@
             clock[0] = asked_at
             believer.store.read = believer.store.follow = answer
             try:
-                await believer.operators.step()
+                await believer.operator_watch.step()
             except HistoryLost:
-                believer.operators._read_again = True
+                believer.operator_watch._needs_full_read = True
 
     asyncio.run(run())
 
@@ -83,7 +83,7 @@
     ]
 
     async def run():
-        believer.hearsay._hear(entries, "10.0.0.9:1")
+        believer.hearsay._apply_entries(entries, "10.0.0.9:1")
 
     asyncio.run(run())
 
@@ -131,8 +131,8 @@
     store_tells(sound, clock, (35.05, 35.2, Changes((row(9, 3),), 9)))
     assert least(sound, clock, 37.9) == 3
     clock[0] = 35.4
-    reply = stale.hearsay.answer(sound.hearsay._question())
-    sound.hearsay._hear(reply.entries, "stale")
+    reply = stale.hearsay.handle_sync(sound.hearsay._sync_request())
+    sound.hearsay._apply_entries(reply.entries, "stale")
     assert least(sound, clock, 37.9) == 3
 
 
@@ -154,7 +154,7 @@
     clock[0] = STARTED + agent.cfg.bounds.stable + 0.1
 
     async def read():
-        agent._took_operators([row(9, 3)])
+        agent._apply_operator_rows([row(9, 3)])
 
     asyncio.run(read())
     assert least(agent, clock, clock[0]) == 3
--- a/tests/beliefs/test_hearsay.py
+++ b/tests/beliefs/test_hearsay.py
@@ -55,7 +55,7 @@
 
     def reads(self, *rows, version):
         """Have its watch take in rows as if the store had told them."""
-        self.hearsay.tables["servers"]._take(Changes(rows, version))
+        self.hearsay.tables["servers"]._apply(Changes(rows, version))
 
     def knows(self, *others):
         for other in others:
@@ -97,7 +97,7 @@
         newer = Declaration(CONFIGURATION, 7, b"without the key")
         calm.hearsay.merge([newer], "store")
         cut.hearsay.merge([Declaration(CONFIGURATION, 6, b"with it")], "store")
-        await cut.hearsay.ask_one()
+        await cut.hearsay.sync_with_one()
         assert cut.changed[-1] == newer
 
     meet(scenario, calm, cut)
@@ -110,7 +110,7 @@
         new.knows(old)
         old.hearsay.merge([Declaration(CONFIGURATION, 6, b"old")], "store")
         new.hearsay.merge([Declaration(CONFIGURATION, 7, b"new")], "store")
-        await new.hearsay.ask_one()
+        await new.hearsay.sync_with_one()
         assert [d.number for d in new.changed] == [7]
 
     meet(scenario, old, new)
@@ -122,7 +122,7 @@
     async def scenario():
         entry.knows(agent)
         named = Declaration("weights/m", 2, b"{}")
-        await entry.hearsay.tell([named])
+        await entry.hearsay.notify_agents([named])
         assert agent.changed == [named]
 
     meet(scenario, entry, agent)
@@ -135,12 +135,12 @@
     async def scenario():
         agent.knows(entry)
         agent.hearsay.merge([Declaration(CONFIGURATION, 1, b"one")], "store")
-        agent.hearsay.lacks.add(CONFIGURATION)
+        agent.hearsay.unwanted.add(CONFIGURATION)
         entry.hearsay.merge([Declaration(CONFIGURATION, 2, b"two")], "store")
-        await agent.hearsay.ask_one()
+        await agent.hearsay.sync_with_one()
         assert [d.number for d in agent.changed] == [1]
-        agent.hearsay.lacks.clear()
-        await agent.hearsay.ask_one()
+        agent.hearsay.unwanted.clear()
+        await agent.hearsay.sync_with_one()
         assert [d.number for d in agent.changed] == [1, 2]
 
     meet(scenario, entry, agent)
@@ -160,9 +160,9 @@
         gone = Row("servers", "i-2", b"", 10, removed=True)
         silent.reads(ready, other, version=7)
         calm.reads(leaving, gone, version=12)
-        await silent.hearsay.ask_one()
+        await silent.hearsay.sync_with_one()
         assert silent.took[-2:] == [leaving, gone]
-        await silent.hearsay.ask_one()
+        await silent.hearsay.sync_with_one()
         assert len(silent.took) == 4
 
     meet(scenario, silent, calm)
@@ -173,8 +173,8 @@
 
     async def scenario():
         lone.hearsay.members["gone"] = Member("gone", ENTRY, "127.0.0.1:1", "region")
-        await lone.hearsay.ask_one()
-        assert lone.hearsay._draw(lone.hearsay.clock()) is None
+        await lone.hearsay.sync_with_one()
+        assert lone.hearsay._choose_peer(lone.hearsay.clock()) is None
 
     meet(scenario, lone)
 
@@ -189,8 +189,8 @@
         two.hearsay.quarantine.record("poison", "i-2/1", 0.0)
         one.knows(two)
         three.knows(one)
-        await one.hearsay.ask_one()
-        await three.hearsay.ask_one()
+        await one.hearsay.sync_with_one()
+        await three.hearsay.sync_with_one()
         for process in (one, two, three):
             assert process.hearsay.quarantine.refused("poison", 1.0)
 
@@ -206,7 +206,7 @@
         for number in range(200):
             one.hearsay.quarantine.record(f"r{number}", "i-1/1", float(number))
         two.knows(one)
-        await two.hearsay.ask_one()
+        await two.hearsay.sync_with_one()
         assert set(two.hearsay.quarantine.crashes) == {f"r{n}" for n in range(180, 200)}
 
     meet(scenario, one, two)
@@ -223,7 +223,7 @@
         ]
         seen = []
         two.hearsay.events.listeners.append(lambda kind, told: seen.append(kind))
-        two.hearsay.answer(pb.SyncRequest(vm="one", entries=told))
+        two.hearsay.handle_sync(pb.SyncRequest(vm="one", entries=told))
         assert [d.key for d in two.changed] == ["weights/m"]
         assert "content.unreadable" in seen
 
@@ -246,9 +246,9 @@
             replies.append(answered(hearsay, req))
             return replies[-1]
 
-        answered = Hearsay.answer
-        monkeypatch.setattr(Hearsay, "answer", answer)
-        await entry.hearsay.tell([Declaration("weights/m", 2, b"{}")])
+        answered = Hearsay.handle_sync
+        monkeypatch.setattr(Hearsay, "handle_sync", answer)
+        await entry.hearsay.notify_agents([Declaration("weights/m", 2, b"{}")])
         assert [d.key for d in agent.changed] == [CONFIGURATION, "weights/m"]
         assert [list(reply.entries) for reply in replies] == [[]]
 
@@ -270,9 +270,9 @@
             process.hearsay.merge([Declaration(CONFIGURATION, number, b"{}")], "store")
         away.hearsay.merge([Declaration("weights/m", 2, b"{}")], "store")
         agent.knows(near)
-        await agent.hearsay.ask_one()
+        await agent.hearsay.sync_with_one()
         agent.hearsay.members = {"away": far(away)}
-        await agent.hearsay.ask_one()
+        await agent.hearsay.sync_with_one()
         told = [(d.key, d.number) for d in agent.changed]
         assert told == [(CONFIGURATION, 1), ("weights/m", 2)]
 
@@ -284,14 +284,14 @@
     entry, near, away = Process("entry"), Process("near"), Process("away")
 
     async def scenario():
-        entry.hearsay.alone = lambda: alone
+        entry.hearsay.region_may_lag = lambda: alone
         for process, number in ((entry, 1), (near, 1), (away, 2)):
             process.hearsay.merge([Declaration(CONFIGURATION, number, b"{}")], "store")
         if near_heard:
             entry.knows(near)
-            await entry.hearsay.ask_one()
+            await entry.hearsay.sync_with_one()
         entry.hearsay.members = {"away": far(away)}
-        await entry.hearsay.ask_one()
+        await entry.hearsay.sync_with_one()
 
     meet(scenario, entry, near, away)
     return [d.number for d in entry.changed]
--- a/tests/beliefs/test_region_readers.py
+++ b/tests/beliefs/test_region_readers.py
@@ -12,9 +12,9 @@
 # Time for entries that have read the table to find out who follows it (seconds).
 SETTLED_SECONDS = 0.8
 # A change has to be in force so long after its confirmation (seconds).
-IN_FORCE_SECONDS = 2.0
+IN_EFFECT_SECONDS = 2.0
 # A lost word shows in less than a second; a busy machine is allowed for (seconds).
-NOTICED_SECONDS = 1.4
+DETECTED_SECONDS = 1.4
 KEY = weights_key("m")
 
 
@@ -44,11 +44,11 @@
 
 def places(entries):
     """Versions of the store that the entries' copies of the table reflect."""
-    return [entry.believer.operators.version for entry in entries]
+    return [entry.believer.operator_watch.version for entry in entries]
 
 
 def ages(entry):
-    """Ages of versions as the entry would tell them, seconds."""
+    """DeclarationAges of versions as the entry would tell them, seconds."""
     return entry.believer._ages_of(KEY)
 
 
@@ -85,8 +85,8 @@
 
 def cut_off(entry):
     entry.store.away.add(entry.vm)
-    entry.believer.readers._following.cancel()
-    entry.believer.readers._following = None
+    entry.believer.readers._watch_task.cancel()
+    entry.believer.readers._watch_task = None
 
 
 def silently_cut_off(entry):
@@ -102,11 +102,11 @@
             fails(reader)
         store.configure(2)
         took = await until(lambda: numbers(followers) == [2] * 4)
-        assert took < NOTICED_SECONDS < IN_FORCE_SECONDS
+        assert took < DETECTED_SECONDS < IN_EFFECT_SECONDS
         # Some hear it from another follower before they find their readers lost.
         told = [told for f in followers for told in f.told("watch.uncovered")]
         assert 1 <= len(told) <= 4
-        assert max(uncovered["age"] for uncovered in told) <= NOTICED_SECONDS
+        assert max(uncovered["age"] for uncovered in told) <= DETECTED_SECONDS
 
     region(scenario)
 
@@ -119,7 +119,7 @@
             silently_cut_off(reader)
         store.configure(2)
         took = await until(lambda: numbers(followers) == [2] * 4)
-        assert took < IN_FORCE_SECONDS
+        assert took < IN_EFFECT_SECONDS
 
     region(scenario)
 
@@ -175,7 +175,7 @@
         monkeypatch.setattr(type(readers[0].believer.hearsay), "push", lost)
         store.configure(2)
         took = await until(lambda: numbers(followers) == [2] * 4)
-        assert took < 4 * region_readers.ASK_SECONDS
+        assert took < 4 * region_readers.POLL_INTERVAL_SECONDS
         assert len(store.sent_of("config")) == 2
 
     region(scenario)
@@ -184,7 +184,7 @@
 def test_followers_are_told_at_once(region, monkeypatch):
     # Versions would be in force at followers up to 0.4 s later than at readers.
     async def scenario(store, readers, followers):
-        monkeypatch.setattr(region_readers, "ASK_SECONDS", 60.0)
+        monkeypatch.setattr(region_readers, "POLL_INTERVAL_SECONDS", 60.0)
         await asyncio.sleep(0.25)
         store.configure(2)
         took = await until(lambda: numbers(followers) == [2] * 4)
@@ -198,19 +198,19 @@
 ):
     # Both readers' calls are silent without an error, and they go on to answer.
     async def scenario(store, readers, followers):
-        monkeypatch.setattr(region_readers, "LAG_SECONDS", 0.3)
+        monkeypatch.setattr(region_readers, "MAX_LAG_SECONDS", 0.3)
         for reader in readers:
             store.silent.add(reader.vm)
-            reader.believer.readers._following.cancel()
-            reader.believer.readers._following = asyncio.create_task(
+            reader.believer.readers._watch_task.cancel()
+            reader.believer.readers._watch_task = asyncio.create_task(
                 asyncio.Event().wait()
             )
         store.configure(2)
         await asyncio.sleep(0.2)
         assert numbers(followers) == [1] * 4
-        followers[0].believer.operators.behind(store.version)
+        followers[0].believer.operator_watch.note_newer_row(store.version)
         took = await until(lambda: followers[0].number == 2)
-        assert took < 0.3 + NOTICED_SECONDS
+        assert took < 0.3 + DETECTED_SECONDS
         assert followers[0].told("watch.uncovered")[0]["why"] == "a peer knows more"
 
     region(scenario)
@@ -260,7 +260,7 @@
         store.name_version(2)
         found = [f.believer.beliefs for f in followers]
         await until(lambda: all(b.newest_version("m") == 2 for b in found))
-        await asyncio.sleep(2.5 * region_readers.ASK_SECONDS)
+        await asyncio.sleep(2.5 * region_readers.POLL_INTERVAL_SECONDS)
         oldest = max(ages(reader)[2] for reader in readers)
         for follower in followers:
             assert ages(follower)[2] >= oldest - 0.02
@@ -328,12 +328,12 @@
         store.name_version(2)
         follower = followers[0].believer
         await until(lambda: follower.beliefs.newest_version("m") == 2)
-        await asyncio.sleep(2.5 * region_readers.ASK_SECONDS)
+        await asyncio.sleep(2.5 * region_readers.POLL_INTERVAL_SECONDS)
         now = asyncio.get_running_loop().time()
         follower.beliefs._versions["m"][-1].certain = False
         follower.beliefs._versions["m"][-1].since = now - 7.0
-        follower.operators._read_again = True
-        await follower.operators.step()
+        follower.operator_watch._needs_full_read = True
+        await follower.operator_watch.step()
         assert follower.beliefs._versions["m"][-1].since == now - 7.0
 
     region(scenario)
@@ -343,8 +343,8 @@
     # It would refuse with 503 what it does not know, and ask five times a second.
     async def scenario(store, readers, followers):
         follower = followers[0].believer
-        follower.operators._failures = 1
-        assert not follower._cut_off()
+        follower.operator_watch._failures = 1
+        assert not follower._is_cut_off()
         await asyncio.sleep(1.3)
         now = asyncio.get_running_loop().time()
         assert now - follower.beliefs.heard_at < 1.5
@@ -362,14 +362,14 @@
 
     async def scenario(store, readers, followers):
         follower = followers[0]
-        monkeypatch.setattr(type(follower.believer.hearsay), "ask_reader", ends_late)
-        await asyncio.sleep(2 * region_readers.ASK_SECONDS)
+        monkeypatch.setattr(type(follower.believer.hearsay), "poll_reader", ends_late)
+        await asyncio.sleep(2 * region_readers.POLL_INTERVAL_SECONDS)
         assert follower.believer.readers.covered
         follower.freeze()
         await asyncio.gather(*follower.tasks, return_exceptions=True)
         follower.believer.readers.readers.refuses(readers[0].vm)
         follower.believer.readers.readers.refuses(readers[1].vm)
         await asyncio.sleep(0.05)
-        assert follower.believer.readers._following is None
+        assert follower.believer.readers._watch_task is None
 
     region(scenario)
--- a/tests/beliefs/test_start_turns.py
+++ b/tests/beliefs/test_start_turns.py
@@ -5,7 +5,7 @@
 
 import pytest
 from wasabideck_adapter.deployment import DEPLOYMENT
-from wasabideck_base.believer import READING_AGENTS, Believer
+from wasabideck_base.believer import CONCURRENT_AGENT_READS, Believer
 from wasabideck_base.channels import Channels
 from wasabideck_base.events import Clock, Events
 from wasabideck_base.member_rows import MEMBERS, member_row
@@ -112,10 +112,13 @@
     readers = 0
     for me in everyone:
         store = run_for(
-            0.3, me, Store(everyone), lambda b: [b._keep_members(), b._keep_reading()]
+            0.3,
+            me,
+            Store(everyone),
+            lambda b: [b._run_member_reads(), b._run_fallback_reads()],
         )
         readers += DEPLOYMENT.operators in store.reads
-    assert 0 < readers <= READING_AGENTS
+    assert 0 < readers <= CONCURRENT_AGENT_READS
 
 
 def test_of_many_entries_that_begin_again_the_readers_read_the_table_at_once():
@@ -123,7 +126,7 @@
     readers = 0
     for me in everyone:
         store = run_for(
-            0.3, me, Store(everyone), lambda b: [b._keep_members(), b.readers.run()]
+            0.3, me, Store(everyone), lambda b: [b._run_member_reads(), b.readers.run()]
         )
         readers += DEPLOYMENT.operators in store.reads
     assert readers == READERS
@@ -134,7 +137,7 @@
     everyone = crowd_of(ENTRY, 8)
     for me in everyone[:2]:
         store = run_for(
-            3.5, me, Store(everyone), lambda b: [b._keep_members(), b.readers.run()]
+            3.5, me, Store(everyone), lambda b: [b._run_member_reads(), b.readers.run()]
         )
         assert DEPLOYMENT.operators in store.reads
 
@@ -142,13 +145,17 @@
 def test_a_process_that_begins_again_reads_the_members_once_and_writes_nothing():
     # Guards against three calls of each process in the second in which all begin.
     everyone = crowd_of(AGENT)
-    store = run_for(2.5, everyone[0], Store(everyone), lambda b: [b._keep_members()])
+    store = run_for(
+        2.5, everyone[0], Store(everyone), lambda b: [b._run_member_reads()]
+    )
     assert store.reads == [MEMBERS]
     assert store.writes == []
 
 
 def test_a_process_that_begins_for_the_first_time_writes_its_row_and_looks_again():
-    store = run_for(2.5, crowd_of(AGENT)[0], Store([]), lambda b: [b._keep_members()])
+    store = run_for(
+        2.5, crowd_of(AGENT)[0], Store([]), lambda b: [b._run_member_reads()]
+    )
     assert store.reads == [MEMBERS] * 2
     assert [write.key for write in store.writes] == ["vm-0"]
 
@@ -156,5 +163,5 @@
 def test_a_process_whose_row_names_another_address_writes_it_anew():
     old = [Member("vm-0", AGENT, "127.0.0.9:1", "r", "dc")]
     new = Member("vm-0", AGENT, "127.0.0.1:1", "r", "dc")
-    store = run_for(0.3, new, Store(old), lambda b: [b._keep_members()])
+    store = run_for(0.3, new, Store(old), lambda b: [b._run_member_reads()])
     assert len(store.writes) == 1
--- a/tests/beliefs/test_table_watch.py
+++ b/tests/beliefs/test_table_watch.py
@@ -7,7 +7,7 @@
 from wasabideck_base.events import Clock, Events
 from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_base.rows import Changes, HistoryLost, Row
-from wasabideck_base.table_watch import BEHIND_SECONDS, Followed, TableWatch
+from wasabideck_base.table_watch import STALLED_CALL_SECONDS, TablePosition, TableWatch
 
 
 class ScriptedStore:
@@ -101,7 +101,7 @@
         await watch.step()
         with pytest.raises(HistoryLost):
             await watch.step()
-        watch._read_again = True
+        watch._needs_full_read = True
         await watch.step()
         await watch.step()
 
@@ -139,10 +139,10 @@
         await watch.step()
         hanging = asyncio.create_task(watch.step())
         await asyncio.sleep(0)
-        watch.behind(7)
+        watch.note_newer_row(7)
         assert not hanging.done()
-        clock[0] = BEHIND_SECONDS
-        watch.behind(7)
+        clock[0] = STALLED_CALL_SECONDS
+        watch.note_newer_row(7)
         with pytest.raises(PlatformUnavailable):
             await hanging
 
@@ -159,15 +159,15 @@
         hanging = asyncio.create_task(watch.step())
         await asyncio.sleep(0)
         for _ in range(4):
-            watch.behind(7)
-            clock[0] += BEHIND_SECONDS
+            watch.note_newer_row(7)
+            clock[0] += STALLED_CALL_SECONDS
             store.bytes_received += 10_000
         await asyncio.sleep(0)
         assert not hanging.done()
-        assert watch.lags(clock[0], BEHIND_SECONDS)
-        watch.behind(7)
-        clock[0] += 2 * BEHIND_SECONDS
-        watch.behind(7)
+        assert watch.is_lagging(clock[0], STALLED_CALL_SECONDS)
+        watch.note_newer_row(7)
+        clock[0] += 2 * STALLED_CALL_SECONDS
+        watch.note_newer_row(7)
         with pytest.raises(PlatformUnavailable):
             await hanging
 
@@ -186,7 +186,7 @@
         await asyncio.sleep(0)
         for now in (0.0, 5.0):
             clock[0] = now
-            watch.behind(5)
+            watch.note_newer_row(5)
         await asyncio.sleep(0)
         assert not hanging.done()
         hanging.cancel()
@@ -195,7 +195,7 @@
 
 
 def test_a_storm_of_changes_is_read_by_its_last_one(seen, clock):
-    # Operators write a configuration of 40 KB four times a second. Followed, each of
+    # Operators write a configuration of 40 KB four times a second. TablePosition, each of
     # them is sent to each entry; the link between two regions was full with them, and
     # entries were two seconds behind. The table itself holds only the last one.
     store = ScriptedStore(
@@ -206,7 +206,7 @@
         Changes((row("a", 9),), 9),
     )
     watch = watch_of(store, seen, clock)
-    watch.rereads = True
+    watch.prefers_full_read = True
 
     async def run():
         for now in (0.0, 5.0, 5.4, 5.8, 20.0):
@@ -223,18 +223,18 @@
     # new, and the entry had no server until their rows changed.
     store = ScriptedStore(Changes((row("a", 3),), 5))
     watch = watch_of(store, seen, clock)
-    watch.hear([row("a", 3)])
+    watch.merge_rows([row("a", 3)])
     assert seen.took == []
     asyncio.run(steps(watch, 1))
     assert seen.took == [("a", False)]
 
 
 @pytest.mark.parametrize(
-    ("asked_at", "failed", "told_from"),
+    ("asked_at", "failed", "written_since"),
     [(101.0, False, 99.6), (110.0, False, 108.3), (101.0, True, 100.0)],
 )
 def test_what_comes_after_a_readers_last_word_is_as_old_as_that(
-    seen, clock, asked_at, failed, told_from
+    seen, clock, asked_at, failed, written_since
 ):
     # A follower whose readers end asks a second after their last word, and would take
     # what was named right after it for a version of a second; one that stood still for
@@ -247,17 +247,17 @@
     async def run():
         await watch.step()
         clock[0] = 100.0
-        watch.adopt(Followed(7, 0.4), newest=6, asked_at=100.0)
+        watch.adopt_position(TablePosition(7, 0.4), newest=6, asked_at=100.0)
         clock[0] = asked_at
         if failed:
             with pytest.raises(PlatformUnavailable) as exc:
                 await watch.step()
-            watch._failed(exc.value)
+            watch._record_failure(exc.value)
         await watch.step()
 
     asyncio.run(run())
     assert store.calls[-1] == ("follow", 7)
-    assert watch.told_from == pytest.approx(told_from)
+    assert watch.written_since == pytest.approx(written_since)
 
 
 def test_how_far_a_watch_has_come_is_told_with_what_it_may_lack(seen, clock):
@@ -267,14 +267,14 @@
     watch = watch_of(store, seen, clock)
 
     async def run():
-        assert watch.followed(0.0) is None
+        assert watch.position(0.0) is None
         await watch.step()
         clock[0] = 0.3
-        assert watch.followed(clock[0]) == Followed(1, pytest.approx(0.3))
+        assert watch.position(clock[0]) == TablePosition(1, pytest.approx(0.3))
         hanging = asyncio.create_task(watch.step())
         await asyncio.sleep(0)
         clock[0] = 9.0
-        assert watch.followed(clock[0]) == Followed(1, pytest.approx(0.1))
+        assert watch.position(clock[0]) == TablePosition(1, pytest.approx(0.1))
         hanging.cancel()
 
     asyncio.run(run())
@@ -309,8 +309,8 @@
         await watch.step()
 
     asyncio.run(scenario())
-    assert watch.heard_at == pytest.approx(1.3)
-    assert 0.0 <= watch.told_from <= 0.4
+    assert watch.last_answer_at == pytest.approx(1.3)
+    assert 0.0 <= watch.written_since <= 0.4
 
 
 def test_what_an_answer_may_lack_counts_from_when_the_store_gave_it(seen, clock):
@@ -322,7 +322,7 @@
         await watch.step()
 
     asyncio.run(scenario())
-    assert watch.lacked_from(clock[0]) == pytest.approx(0.02, abs=0.02)
+    assert watch.missing_since(clock[0]) == pytest.approx(0.02, abs=0.02)
 
 
 def test_a_store_with_another_clock_dates_nothing_earlier(seen, clock):
@@ -338,7 +338,7 @@
             await watch.step()
 
     asyncio.run(scenario())
-    assert clock[0] - watch.told_from <= 0.2
+    assert clock[0] - watch.written_since <= 0.2
 
 
 def test_clocks_that_drift_apart_make_no_way_longer(seen, clock):
@@ -354,7 +354,7 @@
         await watch.step()
 
     asyncio.run(scenario())
-    assert watch.lacked_from(clock[0]) == pytest.approx(clock[0], abs=0.02)
+    assert watch.missing_since(clock[0]) == pytest.approx(clock[0], abs=0.02)
 
 
 def test_what_a_peer_tells_is_dated_by_when_it_tells(seen, clock):
@@ -362,5 +362,5 @@
     watch = watch_of(ScriptedStore(Changes((row("a", 1),), 1)), seen, clock)
     asyncio.run(watch.step())
     clock[0] = 12.0
-    watch.hear([row("a", 2, removed=True)])
-    assert watch.told_from == 12.0
+    watch.merge_rows([row("a", 2, removed=True)])
+    assert watch.written_since == 12.0
--- a/tests/beliefs/test_told.py
+++ b/tests/beliefs/test_told.py
@@ -7,7 +7,7 @@
 import pytest
 from wasabideck_base import packing
 from wasabideck_base.packing import MalformedContent, unpacked
-from wasabideck_base.told import DECLARED, PACKED, declaration_entry, declaration_of
+from wasabideck_base.told import COMPRESSED, DECLARED, declaration_entry, declaration_of
 from wasabideck_policy.declarations import CONFIGURATION, Declaration
 from wasabideck_wire import inner_pb2 as pb
 
@@ -33,7 +33,7 @@
     # Mbit/s full for 2.4 s.
     told = Declaration(CONFIGURATION, 2, configuration(4200, rng))
     entry = declaration_entry(told)
-    assert entry.slot == PACKED
+    assert entry.slot == COMPRESSED
     assert entry.ByteSize() < len(told.content) / 5
     assert declaration_of(entry) == told
 
@@ -53,7 +53,7 @@
 def test_bytes_that_are_no_packed_content_are_a_typed_failure(data):
     # A damaged peer would end the service's call, or put half a configuration in force.
     with pytest.raises(MalformedContent):
-        declaration_of(pb.Entry(scope=CONFIGURATION, slot=PACKED, change=data))
+        declaration_of(pb.Entry(scope=CONFIGURATION, slot=COMPRESSED, change=data))
 
 
 def test_content_that_grows_without_bound_is_refused(monkeypatch):
--- a/tests/beliefs/test_undated_versions.py
+++ b/tests/beliefs/test_undated_versions.py
@@ -6,11 +6,11 @@
 from test_cold_start import STARTED, declared, hears, make, row, store_tells
 from test_version_dates import settled
 from wasabideck_base.rows import Changes, Row
-from wasabideck_base.version_dates import DATES
+from wasabideck_base.version_dates import TIMES_TABLE
 from wasabideck_policy.membership import AGENT, ENTRY
 
 AHEAD = 5000.0
-KEPT = Row(DATES, "m", b'{"3": 5034.0}', 8)
+KEPT = Row(TIMES_TABLE, "m", b'{"3": 5034.0}', 8)
 
 
 @pytest.fixture
@@ -29,10 +29,13 @@
     process.store.read = read
 
     async def run():
-        process.dates._lookup_due, was = asyncio.Event(), process.dates._lookup_due
+        process.declaration_times._lookup_due, was = (
+            asyncio.Event(),
+            process.declaration_times._lookup_due,
+        )
         if was.is_set():
-            process.dates._lookup_due.set()
-        finding = asyncio.create_task(process.dates.run_lookups())
+            process.declaration_times._lookup_due.set()
+        finding = asyncio.create_task(process.declaration_times.run_lookups())
         await settled()
         finding.cancel()
 
@@ -62,7 +65,7 @@
     agent = make(AGENT, clock)
 
     async def read():
-        agent._took_operators([row(9, 3)])
+        agent._apply_operator_rows([row(9, 3)])
 
     asyncio.run(read())
     assert finds(agent, clock) == 1
--- a/tests/beliefs/test_version_ages.py
+++ b/tests/beliefs/test_version_ages.py
@@ -20,9 +20,9 @@
     stale = (35.05, 35.1, Changes((row(5, 2),), 5))
     store_tells(follower, clock, stale)
     store_tells(reader, clock, stale)
-    place = reader.operators.followed(clock[0])
+    place = reader.operator_watch.position(clock[0])
     if place is not None:
-        follower.operators.adopt(place, 5, clock[0])
+        follower.operator_watch.adopt_position(place, 5, clock[0])
     follower.readers._covered = True
     store_tells(reader, clock, (35.1, 35.2, Changes((row(9, 3),), 9)))
     assert reader.beliefs.undated("m")
@@ -39,9 +39,9 @@
         clock[0] += limit - 0.1
         return pb.SyncReply(entries=entries, heard=True)
 
-    monkeypatch.setattr(Hearsay, "_call", call)
-    monkeypatch.setattr(Hearsay, "_draw", lambda self, now: "10.0.0.9:1")
-    asyncio.run(agent.hearsay.ask_one())
+    monkeypatch.setattr(Hearsay, "_sync", call)
+    monkeypatch.setattr(Hearsay, "_choose_peer", lambda self, now: "10.0.0.9:1")
+    asyncio.run(agent.hearsay.sync_with_one())
     assert agent.beliefs.newest("m").since <= 35.0 - 7.0
 
 
--- a/tests/beliefs/test_version_dates.py
+++ b/tests/beliefs/test_version_dates.py
@@ -7,7 +7,7 @@
 from wasabideck_base.events import Clock, Events
 from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_base.rows import Changes, Row, WriteConflict
-from wasabideck_base.version_dates import DATES, VersionDates
+from wasabideck_base.version_dates import TIMES_TABLE, DeclarationTimes
 from wasabideck_policy.beliefs import Beliefs
 
 WITHIN = 8.0
@@ -24,7 +24,7 @@
         self.before_write = lambda: None
 
     async def read(self, table):
-        assert table == DATES
+        assert table == TIMES_TABLE
         self.reads += 1
         self._fail()
         answered_at = self.clock() + AHEAD
@@ -44,7 +44,7 @@
 
     def put(self, key, value):
         self.version += 1
-        self.rows[key] = Row(DATES, key, value, self.version)
+        self.rows[key] = Row(TIMES_TABLE, key, value, self.version)
 
     def _fail(self):
         if self.failures:
@@ -82,7 +82,7 @@
     def __init__(self, store, clock):
         self.beliefs = Beliefs(clock())
         self.clock = clock
-        self.dates = VersionDates(
+        self.dates = DeclarationTimes(
             store,
             lambda model: self.beliefs.version_ages(model, WITHIN, clock()),
             lambda: self.beliefs.undated_models(WITHIN, clock()),
@@ -96,13 +96,13 @@
     def sees(self, number, ago=0.0):
         """Take in that a version was named just now."""
         self.beliefs.name_version("m", number, self.clock() - ago)
-        self.dates.publish("m")
+        self.dates.request_publishing("m")
 
     def hears(self, number):
         """Take in a version that was named nobody knows when."""
         now = self.clock()
         self.beliefs.name_version("m", number, now - WITHIN, False, now)
-        self.dates.look_up()
+        self.dates.request_lookup()
 
     def due(self):
         return self.beliefs.least_version("m", WITHIN, self.clock())
@@ -278,6 +278,6 @@
     seen = Process(store, clock)
     seen.sees(2)
     seen.run()
-    begun.dates.look_up()
+    begun.dates.request_lookup()
     begun.run(0.5)
     assert begun.due() == 0
