--- a/packages/wasabideck_base/wasabideck_base/believer.py
+++ b/packages/wasabideck_base/wasabideck_base/believer.py
@@ -233,7 +233,7 @@
     # Declarations of the operators
 
     def _apply_operator_rows(self, rows: list[Row]) -> None:
-        found, newer = [], []
+        declarations, newer = [], []
         for row in rows:
             try:
                 declaration = self.deployment.declaration_of(row)
@@ -241,12 +241,13 @@
                 self.events.emit("row.unreadable", why=str(exc))
                 continue
             if declaration is not None:
-                found.append(declaration)
+                declarations.append(declaration)
                 if row.version > self.operator_watch.adopted_version:
                     newer.append(declaration)
-        newer += self.hearsay.merge(found, STORE)
+        newer += self.hearsay.merge(declarations, STORE)
         if self._store_rows_are_new:
-            # Ages that a region reader reported earlier predate this answer.
+            # Rows up to the adopted version are excluded: they are older than this
+            # answer.
             self._bound_ages(newer)
 
     @property
@@ -352,7 +353,7 @@
         return ages if youngest < self.cfg.bounds.version else {}
 
     def _is_uncertain(self, key: str) -> bool:
-        # After the stable time no peer is queried for it any more.
+        # After the stable time the estimate no longer matters, whoever was polled.
         recently_started = self.clock() - self.beliefs.began < self.cfg.bounds.stable
         time_unknown = key != CONFIGURATION and self.beliefs.undated(weights_model(key))
         return recently_started and time_unknown
--- a/packages/wasabideck_base/wasabideck_base/hearsay.py
+++ b/packages/wasabideck_base/wasabideck_base/hearsay.py
@@ -45,8 +45,8 @@
 # other processes that start at the same time.
 FIRST_SYNC_TIMEOUT_SECONDS = 3.0
 # Interval between gossip calls, each to one peer, in normal operation and while cut off
-# from the store. If half of the processes are cut off, a change has reached 99 in 100 of
-# them after seven calls.
+# from the store. If half of the processes are cut off, a change has reached 99 in 100
+# of them after seven calls.
 GOSSIP_INTERVAL_SECONDS = 1.0
 FAST_GOSSIP_INTERVAL_SECONDS = 0.2
 # Ratio of calls to peers in the same region, as links between regions are slow.
@@ -115,9 +115,9 @@
     last_local_reply_at: float = float("-inf")
     _peer_retry_at: dict[str, float] = field(factory=dict)
 
-    def merge(self, found: Iterable[Declaration], source: str) -> list[Declaration]:
+    def merge(self, received: Iterable[Declaration], source: str) -> list[Declaration]:
         """Merge declarations, and return those that are newer than the known ones."""
-        newer = self.declarations.merge(found)
+        newer = self.declarations.merge(received)
         for declaration in newer:
             self.events.emit(
                 "declaration.seen",
@@ -197,8 +197,8 @@
         return self.clock() - self.last_local_reply_at < RECENT_LOCAL_REPLY_SECONDS
 
     def _region_of(self, address: str) -> str | None:
-        found = (m.region for m in self.members.values() if m.address == address)
-        return next(found, None)
+        regions = (m.region for m in self.members.values() if m.address == address)
+        return next(regions, None)
 
     async def notify_agents(self, declarations: list[Declaration]) -> None:
         """Notify the agents of the region of declarations received here first.
@@ -269,7 +269,7 @@
 
     def _apply_entries(self, entries: Iterable[pb.Entry], source: str) -> bool:
         """Apply a peer's entries; return whether all of them were readable."""
-        found, complete = [], True
+        declarations, complete = [], True
         for entry in entries:
             try:
                 declaration = declaration_of(entry)
@@ -278,8 +278,8 @@
                 complete = False
                 continue
             if declaration is not None:
-                found.append(declaration)
-        newer = self.merge(found, source)
+                declarations.append(declaration)
+        newer = self.merge(declarations, source)
         reported = [entry for entry in entries if entry.slot == AGE]
         for entry in reported:
             self.ages.on_age(entry.scope, entry.ticket, entry.age_ms / 1000)
--- a/packages/wasabideck_base/wasabideck_base/region_readers.py
+++ b/packages/wasabideck_base/wasabideck_base/region_readers.py
@@ -190,7 +190,7 @@
             self._update()
 
     async def _poll(self, vm: str) -> None:
-        asked_at = self.clock()
+        requested_at = self.clock()
         address = self.hearsay.members[vm].address
         reply = await self.hearsay.poll_reader(address, self.watch.table)
         if reply is None:
@@ -198,6 +198,6 @@
         elif reply.position is None or not reply.is_complete:
             self.readers.refuses(vm)
         else:
-            self.readers.follows(vm, asked_at)
+            self.readers.follows(vm, requested_at)
             if not self._is_reader:
-                self.watch.adopt_position(reply.position, reply.newest, asked_at)
+                self.watch.adopt_position(reply.position, reply.newest, requested_at)
--- a/packages/wasabideck_base/wasabideck_base/table_watch.py
+++ b/packages/wasabideck_base/wasabideck_base/table_watch.py
@@ -200,8 +200,8 @@
 
     def rows_newer_than(self, version: int) -> list[Row]:
         """Return the rows newer than a version, only the newest ones if many."""
-        found = [row for row in self._rows.values() if row.version > version]
-        return sorted(found, key=lambda row: row.version)[-MAX_ROWS_SENT:]
+        newer = [row for row in self._rows.values() if row.version > version]
+        return sorted(newer, key=lambda row: row.version)[-MAX_ROWS_SENT:]
 
     def _known_version(self, key: str) -> int:
         row = self._rows.get(key)
@@ -261,7 +261,9 @@
             return None
         return TablePosition(self.version, now - self.missing_since(now))
 
-    def adopt_position(self, peer: TablePosition, newest: int, asked_at: float) -> None:
+    def adopt_position(
+        self, peer: TablePosition, newest: int, requested_at: float
+    ) -> None:
         """Adopt a peer's position in the table.
 
         Valid only for a process that lacks nothing that the peer has.
@@ -270,7 +272,7 @@
         ----------
         newest : int
             Version of the newest row that the peer knows.
-        asked_at : float
+        requested_at : float
             When the peer was polled, seconds.
         """
         if peer.version >= self.version:
@@ -280,7 +282,7 @@
         self.adopted_version = max(self.adopted_version, peer.version)
         self.newest = max(self.newest, newest)
         self._adopted_complete_until = max(
-            self._adopted_complete_until, asked_at - peer.staleness_seconds
+            self._adopted_complete_until, requested_at - peer.staleness_seconds
         )
 
     def mark_covered(self) -> None:
@@ -292,14 +294,14 @@
 
     async def _read(self) -> None:
         missing_since, max_age = self._missing_bounds()
-        asked_at = self.clock()
+        requested_at = self.clock()
         self.first_read_unverified = self.first_read_unverified or self.version < 0
         changes = await self._await_call(self.store.read(self.table))
         if changes.version < self.version:
             # An answer older than the copy would remove rows that were added since.
             await asyncio.sleep(self._next_backoff())
             return
-        self._record_answer(changes, asked_at)
+        self._record_answer(changes, requested_at)
         self._needs_full_read = False
         self.written_since = max(missing_since, self._complete_until - max_age)
         self._apply(changes)
@@ -307,7 +309,7 @@
 
     async def _follow(self) -> None:
         missing_since, max_age = self._missing_bounds()
-        asked_at = self._follow_started_at = self.clock()
+        requested_at = self._follow_started_at = self.clock()
         follow = self.store.follow(self.table, self.version, self.wait_seconds)
         try:
             changes = await self._await_call(follow)
@@ -316,8 +318,12 @@
         if changes.version < self.version:
             await asyncio.sleep(self._next_backoff())
             return
-        self._record_answer(changes, asked_at)
-        if HELD_ANSWER_SECONDS < self._complete_until - asked_at <= self.wait_seconds:
+        self._record_answer(changes, requested_at)
+        if (
+            HELD_ANSWER_SECONDS
+            < self._complete_until - requested_at
+            <= self.wait_seconds
+        ):
             missing_since = self._complete_until - MIN_TRANSIT_SECONDS
             self.first_read_unverified = False
         self.written_since = max(missing_since, self._complete_until - max_age)
@@ -368,10 +374,10 @@
         if newer:
             self.on_rows(newer)
 
-    def _record_answer(self, changes: Changes, asked_at: float) -> None:
+    def _record_answer(self, changes: Changes, requested_at: float) -> None:
         self.last_answer_at = self.clock()
         self._complete_until = self.last_answer_at - self._transit_seconds(
-            changes, asked_at
+            changes, requested_at
         )
         if self._failures:
             self._failures = 0
@@ -381,7 +387,7 @@
             )
             self.on_recovery(outage_seconds)
 
-    def _transit_seconds(self, changes: Changes, asked_at: float) -> float:
+    def _transit_seconds(self, changes: Changes, requested_at: float) -> float:
         """Return an answer's transit time in excess of the shortest one so far."""
         if changes.answered_at is None:
             return 0.0
@@ -389,7 +395,7 @@
         drift = MAX_CLOCK_DRIFT_RATIO * (self.last_answer_at - self._clock_offset_at)
         self._min_clock_offset = min(self._min_clock_offset + max(0.0, drift), offset)
         self._clock_offset_at = self.last_answer_at
-        if offset - self._min_clock_offset > self.last_answer_at - asked_at:
+        if offset - self._min_clock_offset > self.last_answer_at - requested_at:
             # Longer than the whole call: the store's clock has changed.
             self._min_clock_offset = offset
         return offset - self._min_clock_offset
--- a/packages/wasabideck_base/wasabideck_base/version_dates.py
+++ b/packages/wasabideck_base/wasabideck_base/version_dates.py
@@ -160,12 +160,12 @@
 
     async def _read(self) -> tuple[dict[str, Row], float]:
         """Return rows by model, and the minimum offset of the store's clock."""
-        asked_at = self.clock()
+        requested_at = self.clock()
         async with asyncio.timeout(READ_TIMEOUT_SECONDS):
             changes = await self.store.read(TIMES_TABLE)
         if changes.answered_at is None:
             raise PlatformUnavailable(TIMES_TABLE, "no time in the answer", False)
-        self._apply_times(changes, changes.answered_at - asked_at)
+        self._apply_times(changes, changes.answered_at - requested_at)
         rows = {row.key: row for row in changes.rows}
         return rows, changes.answered_at - self.clock()
 
--- a/tests/beliefs/region.py
+++ b/tests/beliefs/region.py
@@ -1,4 +1,4 @@
-"""A region of entries over one store, in one process, for tests."""
+"""Test helper: a region of entries with one store, all in one process."""
 
 import asyncio
 import contextlib
@@ -21,12 +21,12 @@
 
 
 class Store:
-    """Tables in memory; counts what it sends to whom."""
+    """Holds tables in memory, and records which process was sent which row."""
 
     def __init__(self):
         self.rows, self.version = {}, 1
         self.sent = []
-        self.away, self.silent = set(), set()
+        self.refused, self.unresponsive = set(), set()
         self.written = asyncio.Event()
 
     def put(self, table, key, value):
@@ -36,20 +36,20 @@
         self.written = asyncio.Event()
 
     def configure(self, number, **more):
-        told = {"version": number, "routes": [], "services": [], **more}
-        self.put("op", "config", orjson.dumps(told))
+        content = {"version": number, "routes": [], "services": [], **more}
+        self.put("op", "config", orjson.dumps(content))
 
-    def name_version(self, number):
+    def declare_version(self, number):
         self.put("op", "version/m", b'{"model":"m","version":%d}' % number)
 
-    def sent_of(self, key, version=None):
-        """Who was sent a row, once for each time."""
+    def recipients_of(self, key, version=None):
+        """Return the VMs that were sent a row, once for each time."""
         version = self.rows["op", key].version if version is None else version
         return [vm for vm, row in self.sent if (row.key, row.version) == (key, version)]
 
 
-class StoreOf:
-    """The store as one process reaches it."""
+class ProcessStore:
+    """The store as seen by one process."""
 
     def __init__(self, store, vm):
         self.store, self.vm = store, vm
@@ -64,15 +64,15 @@
     async def follow(self, table, after, wait):
         if table == "op":
             self.follows.append(after)
-        until = asyncio.get_running_loop().time() + wait
+        deadline = asyncio.get_running_loop().time() + wait
         while True:
             written = self.store.written
             changes = await self._changes(table, after)
-            left = until - asyncio.get_running_loop().time()
-            if changes.rows or left <= 0:
+            remaining = deadline - asyncio.get_running_loop().time()
+            if changes.rows or remaining <= 0:
                 return changes
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining):
                     await written.wait()
 
     async def write(self, writes, expected=()):
@@ -88,9 +88,9 @@
         return Changes(tuple(found), self.store.version)
 
     async def _reach(self):
-        if self.vm in self.store.silent:
+        if self.vm in self.store.unresponsive:
             await asyncio.Event().wait()
-        if self.vm in self.store.away:
+        if self.vm in self.store.refused:
             raise PlatformUnavailable("store", "away", False)
 
 
@@ -99,23 +99,25 @@
 
     def __init__(self, vm, store, seed):
         self.vm, self.store = vm, store
-        self.seen, self.rng = [], random.Random(seed)
+        self.emitted, self.rng = [], random.Random(seed)
 
     async def start(self):
         clock = Clock()
         self.running = asyncio.Event()
         self.running.set()
         events = Events(self.vm, clock, lambda: 0.0)
-        events.listeners.append(lambda kind, told: self.seen.append((kind, told)))
+        events.listeners.append(
+            lambda kind, fields: self.emitted.append((kind, fields))
+        )
         cfg = NodeSettings(self.vm, "127.0.0.1", "dc", REGION, 1, StoreSettings(""))
         self.me = Member(self.vm, ENTRY, "", REGION)
-        self.reached = StoreOf(self.store, self.vm)
+        self.process_store = ProcessStore(self.store, self.vm)
         loop = asyncio.get_running_loop()
         self.believer = Believer(
             cfg,
             self.me,
             DEPLOYMENT,
-            self.reached,
+            self.process_store,
             Channels(clock),
             events,
             loop.time,
@@ -130,25 +132,25 @@
     def run(self):
         self.tasks = [asyncio.create_task(step) for step in self.believer.loops()]
 
-    def freeze(self):
-        """Answer nobody and do nothing more, as a process that is stopped."""
+    def suspend(self):
+        """Answer no call and stop all loops, as a suspended process would."""
         self.running.clear()
         for task in self.tasks:
             task.cancel()
 
     def stop(self):
-        self.freeze()
+        self.suspend()
         self.server.close()
         self.believer.channels.close()
 
     @property
     def number(self):
-        """Number of the configuration in force."""
+        """Number of the configuration in effect."""
         cfg = self.believer.beliefs.configuration
         return cfg.number if cfg else 0
 
-    def told(self, kind):
-        return [told for seen, told in self.seen if seen == kind]
+    def events_of(self, kind):
+        return [fields for emitted, fields in self.emitted if emitted == kind]
 
 
 def _gated(entry):
@@ -160,18 +162,18 @@
     return Gated(entry.believer.hearsay)
 
 
-async def until(found, seconds=3.0):
-    """Wait until something holds; returns how long that took, seconds."""
+async def wait_until(condition, seconds=3.0):
+    """Wait until a condition holds; return how long that took, in seconds."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     async with asyncio.timeout(seconds):
-        while not found():
+        while not condition():
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
-    return loop.time() - began
+    return loop.time() - started_at
 
 
 def run_region(scenario, size):
-    """Run a scenario with the store and a region's entries, which have all read it."""
+    """Run a scenario with a store and a region of entries that have all read it."""
 
     async def body():
         store = Store()
@@ -183,7 +185,7 @@
             for entry in entries:
                 entry.believer.hearsay.members.update((e.vm, e.me) for e in entries)
                 entry.run()
-            await until(lambda: all(e.number == 1 for e in entries))
+            await wait_until(lambda: all(e.number == 1 for e in entries))
             async with asyncio.timeout(10):
                 await scenario(store, entries)
         finally:
--- a/tests/beliefs/test_believer.py
+++ b/tests/beliefs/test_believer.py
@@ -1,4 +1,4 @@
-"""How rows and words of peers become beliefs."""
+"""How the cluster state follows from rows of the store and from gossip."""
 
 import asyncio
 import random
@@ -55,7 +55,7 @@
     return new_believer(AGENT, clock)
 
 
-def name_version(believer, number):
+def declare_version(believer, number):
     row = Row("op", "version/m", b'{"model":"m","version":%d}' % number, number)
 
     async def run():
@@ -64,195 +64,192 @@
     asyncio.run(run())
 
 
-def due(believer, clock):
+def least_version(believer, clock):
     within = believer.cfg.bounds.version - MARGIN
     return believer.beliefs.least_version("m", within, clock[0])
 
 
-def test_a_version_named_while_the_process_runs_has_its_whole_time(believer, clock):
+def test_version_declared_while_running_takes_effect_after_full_time(believer, clock):
     believer._note_operators_read([])
     clock[0] += 60.0
-    name_version(believer, 2)
+    declare_version(believer, 2)
     clock[0] += 7.0
-    assert due(believer, clock) == 0
+    assert least_version(believer, clock) == 0
     clock[0] += 0.5
-    assert due(believer, clock) == 2
+    assert least_version(believer, clock) == 2
 
 
-def test_what_was_named_before_the_start_is_due_before_the_process_is_calm(
-    believer, clock
-):
-    # All entries are killed and start again, eight seconds after a version was named.
-    # They counted its time from their own start on, and sent drafts to the weights
-    # before it that began when the entries had long been calm.
+def test_version_declared_before_start_is_in_effect_at_once(believer, clock):
+    # All entries are killed and restarted eight seconds after a version was
+    # declared. They counted its age from their own start, and sent draft requests
+    # that started_at long after the restart to the previous weights.
     clock[0] += 0.2
-    name_version(believer, 2)
+    declare_version(believer, 2)
     clock[0] += 1.5
-    assert due(believer, clock) == 2
+    assert least_version(believer, clock) == 2
 
 
-def test_what_a_late_first_read_brings_is_due_at_once(believer, clock):
-    # All entries are killed, and each reads a large configuration over a link that all
-    # of them fill: five seconds. They took the versions in it for just named, and sent
-    # drafts to weights that had been over since before the kill.
+def test_version_of_late_first_read_is_in_effect_at_once(believer, clock):
+    # All entries are killed, and each then reads a large configuration over a link that
+    # they fill together, which takes five seconds. They took the versions in it for
+    # just declared, and sent draft requests to weights that had expired before the
+    # kill.
     clock[0] += 5.0
-    name_version(believer, 2)
-    assert due(believer, clock) == 2
+    declare_version(believer, 2)
+    assert least_version(believer, clock) == 2
 
 
-def test_what_a_peer_tells_before_the_store_was_read_is_due_at_once(believer, clock):
-    # One of them heard it from another that had started with it, and knew no more.
+def test_version_received_before_store_read_is_in_effect_at_once(believer, clock):
+    # An entry received the version from a peer that started with it and knew no more.
     clock[0] += 6.0
     believer.hearsay.merge([Declaration(weights_key("m"), 2, b"{}")], "10.0.0.9:1")
-    assert due(believer, clock) == 2
+    assert least_version(believer, clock) == 2
 
 
-def test_a_version_without_a_date_is_due_at_once(believer, clock):
-    # Guards against drafts on weights that are over, from an entry that has just begun.
+def test_version_of_unknown_age_is_in_effect_at_once(believer, clock):
+    # Guards against draft requests to expired weights by an entry that just started.
     clock[0] += 0.2
-    name_version(believer, 3)
-    assert due(believer, clock) == 3
+    declare_version(believer, 3)
+    assert least_version(believer, clock) == 3
 
 
-def test_a_version_that_an_agent_hears_of_late_without_a_date_is_due(
-    agents_believer, clock
-):
-    # Guards against overtaken weights in an engine whose agent was long cut off.
+def test_agent_applies_late_version_of_unknown_age_at_once(agents_believer, clock):
+    # Guards against expired weights in an engine whose agent was cut off for long.
     clock[0] += 60.0
-    name_version(agents_believer, 3)
-    assert due(agents_believer, clock) == 3
+    declare_version(agents_believer, 3)
+    assert least_version(agents_believer, clock) == 3
 
 
-def test_a_version_named_after_a_restart_has_its_whole_time(believer, clock):
-    # Entries are stopped and started in turn while a version is named. Each that had
-    # started less than three seconds before refused all drafts for seven seconds, as it
-    # took the version for one that had been named long ago.
+def test_version_declared_after_restart_takes_effect_after_full_time(believer, clock):
+    # Entries are restarted one after the other while a version is declared. An entry
+    # that had started less than three seconds before assumed that the version was old,
+    # and refused all draft requests for seven seconds.
     believer._note_operators_read([])
     clock[0] += 1.0
-    name_version(believer, 2)
+    declare_version(believer, 2)
     clock[0] += 7.0
-    assert due(believer, clock) == 0
+    assert least_version(believer, clock) == 0
     clock[0] += 0.5
-    assert due(believer, clock) == 2
+    assert least_version(believer, clock) == 2
 
 
-def told(*named):
-    """What a peer tells of versions: numbers, and ages in seconds."""
+def age_report(*ages):
+    """Return a peer's entries for versions, given numbers and ages in seconds."""
     key = weights_key("m")
     return [
         pb.Entry(scope=key, slot="named", ticket=number, age_ms=int(age * 1000))
-        for number, age in named
+        for number, age in ages
     ]
 
 
-def tells(believer):
-    """DeclarationAges in seconds that a peer would be told, by number."""
+def reported_ages(believer):
+    """Return the ages in seconds that a peer would receive, by number."""
     key = weights_key("m")
     entries = believer.hearsay._declaration_entries([Declaration(key, 9, b"{}")])
     return {e.ticket: e.age_ms / 1000 for e in entries if e.slot == "named"}
 
 
-def test_a_peer_tells_a_restarted_process_when_a_version_was_named(believer, clock):
-    # An entry starts again two seconds after a version was named. The store tells no
-    # times, and the entry refused all drafts until the version was in force.
+def test_peer_reports_version_age_to_restarted_process(believer, clock):
+    # An entry restarts two seconds after a version was declared. The store returns no
+    # times, and the entry refused all draft requests until the version was in effect.
     clock[0] += 0.2
-    name_version(believer, 2)
-    asked = believer.hearsay._sync_request().entries
-    assert [entry.ticket for entry in asked if entry.slot == "declared"] == [1]
-    believer.hearsay._apply_entries(told((2, 2.2)), "peer")
+    declare_version(believer, 2)
+    requested = believer.hearsay._sync_request().entries
+    assert [entry.ticket for entry in requested if entry.slot == "declared"] == [1]
+    believer.hearsay._apply_entries(age_report((2, 2.2)), "peer")
     clock[0] += 5.0
-    assert due(believer, clock) == 0
+    assert least_version(believer, clock) == 0
     clock[0] += 0.2
-    assert due(believer, clock) == 2
+    assert least_version(believer, clock) == 2
 
 
-def test_a_guess_is_told_to_nobody(believer, clock):
-    # All entries start again together. Were one's guess another's knowledge, nobody
-    # would know any more that it was a guess.
+def test_estimated_age_is_not_reported(believer, clock):
+    # All entries restart together. If one entry reported its estimate to another,
+    # nobody would know any more that it was an estimate.
     clock[0] += 0.2
-    name_version(believer, 2)
-    assert tells(believer) == {}
-    believer.hearsay._apply_entries(told((2, 2.2)), "peer")
-    assert tells(believer) == {2: pytest.approx(2.2)}
+    declare_version(believer, 2)
+    assert reported_ages(believer) == {}
+    believer.hearsay._apply_entries(age_report((2, 2.2)), "peer")
+    assert reported_ages(believer) == {2: pytest.approx(2.2)}
 
 
-def test_a_restarted_process_hears_of_a_version_that_was_overtaken(believer, clock):
-    # Version 3 is named two seconds after version 2, and an entry starts again. The
-    # store tells of the newest only: the entry knew when version 3 was named, and sent
-    # drafts to version 1 two seconds after the time of version 2 was over.
+def test_restarted_process_learns_of_superseded_version(believer, clock):
+    # Version 3 is declared two seconds after version 2, and an entry restarts. The
+    # store returns only the newest version: the entry knew the time of version 3, and
+    # sent draft requests to version 1 for two seconds after version 2 should have
+    # replaced it.
     clock[0] += 0.2
-    name_version(believer, 3)
-    believer.hearsay._apply_entries(told((2, 4.0), (3, 2.0)), "peer")
-    assert due(believer, clock) == 0
-    assert tells(believer) == {2: pytest.approx(4.0), 3: pytest.approx(2.0)}
+    declare_version(believer, 3)
+    believer.hearsay._apply_entries(age_report((2, 4.0), (3, 2.0)), "peer")
+    assert least_version(believer, clock) == 0
+    assert reported_ages(believer) == {2: pytest.approx(4.0), 3: pytest.approx(2.0)}
     clock[0] += 3.4
-    assert due(believer, clock) == 2
+    assert least_version(believer, clock) == 2
     clock[0] += 2.0
-    assert due(believer, clock) == 3
+    assert least_version(believer, clock) == 3
 
 
-def test_who_lacks_an_overtaken_version_tells_no_ages(believer, clock):
-    # An entry guesses at version 2, and sees version 3 named. Told of version 3 alone,
-    # another one would take itself to know of all that is due.
+def test_process_lacking_a_superseded_version_reports_no_ages(believer, clock):
+    # An entry estimates the age of version 2, and sees version 3 declared. A peer that
+    # received only the age of version 3 would assume that it knew all relevant
+    # versions.
     clock[0] += 0.2
-    name_version(believer, 2)
+    declare_version(believer, 2)
     believer._note_operators_read([])
-    name_version(believer, 3)
-    assert tells(believer) == {}
-    assert due(believer, clock) == 2
+    declare_version(believer, 3)
+    assert reported_ages(believer) == {}
+    assert least_version(believer, clock) == 2
     clock[0] += 1.0
-    assert due(believer, clock) == 2
+    assert least_version(believer, clock) == 2
 
 
-def test_who_hears_late_of_a_version_takes_the_age_of_who_heard_in_time(
-    believer, clock
-):
-    # Two entries hear of version 2 from the store, one of them 0.9 s later: its process
-    # stood still, or its watch had gone silent. Each took the time at which it heard
-    # for certain, and the later one sent drafts to version 1 for 0.9 s too long.
+def test_late_receiver_adopts_older_age_of_peer(believer, clock):
+    # Two entries receive version 2 from the store, one of them 0.9 s later because its
+    # process was suspended or its watch unresponsive. Each took its time of receipt as
+    # certain, and the later one sent draft requests to version 1 for 0.9 s too long.
     clock[0] += 60.0
     believer._note_operators_read([])
-    name_version(believer, 2)
-    believer.hearsay._apply_entries(told((2, 0.9)), "peer")
+    declare_version(believer, 2)
+    believer.hearsay._apply_entries(age_report((2, 0.9)), "peer")
     clock[0] += 6.35
-    assert due(believer, clock) == 0
+    assert least_version(believer, clock) == 0
     clock[0] += 0.1
-    assert due(believer, clock) == 2
-    believer.hearsay._apply_entries(told((2, 1.0)), "who heard later still")
-    assert due(believer, clock) == 2
+    assert least_version(believer, clock) == 2
+    believer.hearsay._apply_entries(age_report((2, 1.0)), "later peer")
+    assert least_version(believer, clock) == 2
 
 
-def test_ages_are_told_to_peers_that_lack_nothing(believer, clock):
-    # Both know version 2; without the age in questions and answers, nothing would ever
-    # put the later one right.
+def test_ages_are_sent_to_peers_that_lack_nothing(believer, clock):
+    # Both entries know version 2. Unless requests and replies contain its age, nothing
+    # corrects the entry that received it later.
     key = weights_key("m")
     clock[0] += 60.0
     believer._note_operators_read([])
-    name_version(believer, 2)
+    declare_version(believer, 2)
     clock[0] += 1.0
-    asked = pb.SyncRequest(entries=[pb.Entry(scope=key, slot="declared", ticket=2)])
+    req = pb.SyncRequest(entries=[pb.Entry(scope=key, slot="declared", ticket=2)])
     for entries in (
         believer.hearsay._sync_request().entries,
-        believer.hearsay.handle_sync(asked).entries,
+        believer.hearsay.handle_sync(req).entries,
     ):
         ages = [(e.ticket, e.age_ms) for e in entries if e.slot == "named"]
         assert ages == [(2, 1000)]
     clock[0] += believer.cfg.bounds.version
-    over = [e for e in believer.hearsay._sync_request().entries if e.slot == "named"]
-    assert over == []
+    expired = [e for e in believer.hearsay._sync_request().entries if e.slot == "named"]
+    assert expired == []
 
 
-def answers_in_turn(believer, clock, *answers):
-    """Have the store asked, and answer, each at its time: a whole read, then calls."""
+def store_answers(believer, clock, *answers):
+    """Have the store answer calls at given times: a full read, then follow calls."""
 
     async def run():
-        for asked_at, answered_at, changes in answers:
+        for requested_at, answered_at, changes in answers:
 
             async def answer(*call, at=answered_at, changes=changes):
                 clock[0] = at
                 return changes
 
-            clock[0] = asked_at
+            clock[0] = requested_at
             believer.store.read = believer.store.follow = answer
             believer.store.received = lambda table: 0
             await believer.operator_watch.step()
@@ -264,117 +261,138 @@
     return Row("op", key, b'{"model":"m","version":%d}' % number, version)
 
 
-def test_a_version_is_as_old_as_it_can_be(believer, clock):
-    # Seen: entries of one region sent drafts to version 1 up to 0.44 s longer than they
-    # meant to. After a change an entry waits 0.4 s before it asks the store for more;
-    # the time of a version that was named meanwhile was counted from the answer. Proof:
-    # the times of confirmation, and of `declaration.seen` in each region.
-    began = clock[0]
-    answers_in_turn(
+def test_version_age_counts_from_earliest_possible_write(believer, clock):
+    # Entries of one region sent draft requests to version 1 up to 0.44 s too long.
+    # After a change an entry waits 0.4 s before its next call to the store; the age of
+    # a version declared in that delay was counted from the answer. Compare the times of
+    # confirmation and of `declaration.seen` in each region.
+    started_at = clock[0]
+    store_answers(
         believer,
         clock,
-        (began + 5.0, began + 5.0, Changes((), 1)),
-        (began + 5.0, began + 20.0, Changes((operators_row("other", 2, 1),), 2)),
-        (began + 20.4, began + 20.45, Changes((operators_row("version/m", 3, 2),), 3)),
+        (started_at + 5.0, started_at + 5.0, Changes((), 1)),
+        (
+            started_at + 5.0,
+            started_at + 20.0,
+            Changes((operators_row("other", 2, 1),), 2),
+        ),
+        (
+            started_at + 20.4,
+            started_at + 20.45,
+            Changes((operators_row("version/m", 3, 2),), 3),
+        ),
     )
-    assert tells(believer) == {2: pytest.approx(0.45, abs=0.002)}
+    assert reported_ages(believer) == {2: pytest.approx(0.45, abs=0.002)}
 
 
-def test_a_version_that_the_store_tells_at_once_is_new(believer, clock):
-    # The call hung for 15 s while nothing changed: the version is as old as the answer
-    # takes, and not as old as the last answer.
-    began = clock[0]
-    answers_in_turn(
+def test_version_in_held_answer_is_new(believer, clock):
+    # The call was pending for 15 s while nothing changed: the version is as old as the
+    # transit of the answer, and not as old as the previous answer.
+    started_at = clock[0]
+    store_answers(
         believer,
         clock,
-        (began + 5.0, began + 5.0, Changes((), 1)),
-        (began + 5.0, began + 20.0, Changes((operators_row("version/m", 3, 2),), 3)),
+        (started_at + 5.0, started_at + 5.0, Changes((), 1)),
+        (
+            started_at + 5.0,
+            started_at + 20.0,
+            Changes((operators_row("version/m", 3, 2),), 3),
+        ),
     )
-    assert tells(believer)[2] < 0.2
+    assert reported_ages(believer)[2] < 0.2
 
 
-def test_what_a_peer_told_first_is_dated_by_the_stores_own_answer(believer, clock):
-    # An entry in its pause hears of version 2 from a peer that cannot say how old it
-    # is, and from the store a moment later. The store's answer was nothing new, and its
-    # bound on the age was thrown away: drafts went to version 1 for 0.5 s too long.
-    began = clock[0]
+def test_store_answer_bounds_age_of_version_first_sent_by_peer(believer, clock):
+    # In its delay after a change, an entry receives version 2 from a peer without an
+    # age, and a moment later from the store. The store's bound on the age was dropped
+    # because the version was known: draft requests went to version 1 for 0.5 s too
+    # long.
+    started_at = clock[0]
     key = weights_key("m")
-    answers_in_turn(
+    store_answers(
         believer,
         clock,
-        (began + 5.0, began + 5.0, Changes((), 1)),
-        (began + 5.0, began + 20.0, Changes((operators_row("other", 2, 1),), 2)),
+        (started_at + 5.0, started_at + 5.0, Changes((), 1)),
+        (
+            started_at + 5.0,
+            started_at + 20.0,
+            Changes((operators_row("other", 2, 1),), 2),
+        ),
     )
-    clock[0] = began + 20.5
+    clock[0] = started_at + 20.5
     declared = Declaration(key, 2, b'{"model":"m","version":2}')
     believer.hearsay.merge([declared], "peer")
-    answers_in_turn(
+    store_answers(
         believer,
         clock,
-        (began + 20.51, began + 20.52, Changes((operators_row("version/m", 3, 2),), 3)),
+        (
+            started_at + 20.51,
+            started_at + 20.52,
+            Changes((operators_row("version/m", 3, 2),), 3),
+        ),
     )
-    assert tells(believer) == {2: pytest.approx(0.52, abs=0.002)}
+    assert reported_ages(believer) == {2: pytest.approx(0.52, abs=0.002)}
 
 
-def test_a_guess_whose_time_is_over_silences_nobody(believer, clock):
-    # All entries start again after version 2 was named. For as long as they ran none
-    # told ages any more, also of versions that each had seen named itself: those that
-    # heard late stayed late.
+def test_expired_estimate_does_not_stop_age_reports(believer, clock):
+    # All entries restart after version 2 was declared. None of them reported ages any
+    # more, not even of versions that it had seen declared itself, so that entries that
+    # received a version late never corrected its age.
     clock[0] += 0.2
-    name_version(believer, 2)
+    declare_version(believer, 2)
     believer._note_operators_read([])
     clock[0] += believer.cfg.bounds.version - 0.1
-    name_version(believer, 3)
-    assert tells(believer) == {}
+    declare_version(believer, 3)
+    assert reported_ages(believer) == {}
     clock[0] += 0.5
-    assert tells(believer)[3] == pytest.approx(0.5)
+    assert reported_ages(believer)[3] == pytest.approx(0.5)
 
 
-def test_a_restarted_process_hears_of_the_version_that_is_over(believer, clock):
-    # Version 2 is over its time, version 3 was named 2.6 s ago, and an entry starts
-    # again. Told of version 3 alone it took version 1 as good until 3 was due, and sent
-    # drafts to it up to 4 s after it was over.
+def test_restarted_process_learns_of_expired_version(believer, clock):
+    # Version 2 has expired, version 3 was declared 2.6 s ago, and an entry restarts. It
+    # received only the age of version 3, considered version 1 valid until version 3
+    # came into effect, and sent draft requests to it for up to 4 s too long.
     clock[0] += 60.0
     believer._note_operators_read([])
-    for number, pause in ((1, 30.0), (2, 9.0), (3, 2.6)):
-        name_version(believer, number)
-        clock[0] += pause
-    ages = tells(believer)
+    for number, seconds in ((1, 30.0), (2, 9.0), (3, 2.6)):
+        declare_version(believer, number)
+        clock[0] += seconds
+    ages = reported_ages(believer)
     assert ages == {2: pytest.approx(11.6, abs=0.01), 3: pytest.approx(2.6, abs=0.01)}
-    again = Beliefs(clock[0])
-    again.name_version("m", 3, clock[0], certain=False)
+    restarted = Beliefs(clock[0])
+    restarted.name_version("m", 3, clock[0], certain=False)
     for number, age in ages.items():
-        again.date_version("m", number, clock[0] - age)
-    assert again.least_version("m", 8.0, clock[0]) == 2
+        restarted.date_version("m", number, clock[0] - age)
+    assert restarted.least_version("m", 8.0, clock[0]) == 2
 
 
-def test_no_question_tells_of_the_newest_version_alone(believer, clock):
-    # Version 2 is over, version 3 runs, and an entry starts again. A peer's question
-    # reached it before any answer to its own, and told the age of version 3 alone: that
-    # was taken for all there is to know, and drafts went to version 1.
+def test_request_never_reports_only_the_newest_age(believer, clock):
+    # Version 2 has expired, version 3 has not, and an entry restarts. Before any reply,
+    # it received a peer's request with the age of version 3 only. It assumed that it
+    # knew all versions, and sent draft requests to version 1.
     clock[0] += 60.0
     believer._note_operators_read([])
-    for number, pause in ((2, 9.0), (3, 2.6)):
-        name_version(believer, number)
-        clock[0] += pause
-    asked = believer.hearsay._sync_request().entries
-    assert {e.ticket for e in asked if e.slot == "named"} == {2, 3}
-
-
-def test_a_version_known_by_its_age_alone_is_acted_on(believer, clock):
-    # DeclarationAges come with every question, and may tell of a version before its declaration
-    # does: an agent that was not woken by it began to fetch half a second later.
-    news = []
-    believer.on_version = lambda model, number: news.append((model, number))
+    for number, seconds in ((2, 9.0), (3, 2.6)):
+        declare_version(believer, number)
+        clock[0] += seconds
+    requested = believer.hearsay._sync_request().entries
+    assert {e.ticket for e in requested if e.slot == "named"} == {2, 3}
+
+
+def test_version_known_only_by_its_age_triggers_callback(believer, clock):
+    # Ages are part of every request and may arrive before the declaration of a version:
+    # an agent that was not notified started its transfer half a second later.
+    notified = []
+    believer.on_version = lambda model, number: notified.append((model, number))
     clock[0] += 60.0
-    believer.hearsay._apply_entries(told((2, 0.5)), "peer")
-    believer.hearsay._apply_entries(told((2, 0.7)), "peer")
-    assert news == [("m", 2)]
+    believer.hearsay._apply_entries(age_report((2, 0.5)), "peer")
+    believer.hearsay._apply_entries(age_report((2, 0.7)), "peer")
+    assert notified == [("m", 2)]
 
 
-def test_nobody_is_asked_for_times_for_ever(believer, clock):
+def test_peers_are_not_queried_for_ages_forever(believer, clock):
     clock[0] += 0.2
-    name_version(believer, 2)
+    declare_version(believer, 2)
     assert believer._is_uncertain(weights_key("m"))
     clock[0] += believer.cfg.bounds.stable
     assert not believer._is_uncertain(weights_key("m"))
@@ -386,48 +404,47 @@
 
 
 @pytest.mark.parametrize("before", ["ready", "draining"])
-def test_a_server_that_is_told_of_and_gone_in_one_answer_is_gone(
-    believer, clock, before
-):
-    # Seen: requests reached a server 2.0 to 2.4 s after it had left the list, and went
-    # on doing so. One answer told of a change of its entry and then of its removal:
-    # removals were taken in first, and the older row put it back for good.
+def test_server_changed_and_removed_in_one_answer_is_removed(believer, clock, before):
+    # Requests reached a server 2.0 to 2.4 s after it had left the list, and continued
+    # to do so. One answer contained a change of its row and then its removal: removals
+    # were applied first, and the older row added the server again for good.
     backends = believer.beliefs.backends
     believer._apply_server_rows([server_row("i-1", 5), server_row("i-2", 6)])
-    gone = Row("servers", "i-1", b"", 9, removed=True)
-    believer._apply_server_rows([server_row("i-1", 8, before), gone])
+    removed = Row("servers", "i-1", b"", 9, removed=True)
+    believer._apply_server_rows([server_row("i-1", 8, before), removed])
     assert [b.server for b in backends.of_service("s", clock[0])] == ["i-2"]
     assert backends.names() == {"i-2"}
 
 
-def test_a_server_that_is_gone_and_listed_again_in_one_answer_is_there(believer, clock):
+def test_server_removed_and_added_in_one_answer_is_listed(believer, clock):
     believer._apply_server_rows([server_row("i-1", 5)])
-    gone = Row("servers", "i-1", b"", 8, removed=True)
-    believer._apply_server_rows([gone, server_row("i-1", 9)])
-    found = believer.beliefs.backends.of_service("s", clock[0])
-    assert [b.server for b in found] == ["i-1"]
+    removed = Row("servers", "i-1", b"", 8, removed=True)
+    believer._apply_server_rows([removed, server_row("i-1", 9)])
+    listed = believer.beliefs.backends.of_service("s", clock[0])
+    assert [b.server for b in listed] == ["i-1"]
 
 
-def test_rows_of_other_writers_change_nothing(believer):
+def test_unreadable_server_rows_are_ignored(believer):
     rows = [Row("servers", "i-1", b"\xff", 5), Row("servers", "i-2", b"{}", 6)]
     believer._apply_server_rows(rows)
     assert len(believer.beliefs.backends) == 0
 
 
-def test_an_agent_wants_a_configuration_until_one_near_by_was_asked(believer, clock):
-    # Its one ask in ten seconds may go far, and bring none: three times in ten it went
-    # on with the former engines and origin for ten seconds more.
+def test_agent_accepts_configuration_until_nearby_peer_replied(believer, clock):
+    # An agent's only request in ten seconds may go to a remote peer, which sends no
+    # configuration: in three of ten cases the agent kept the previous engines and
+    # origin for ten more seconds.
     hearsay = believer.hearsay
     believer.beliefs.configuration = object()
     hearsay.last_local_reply_at = clock[0] - 0.5
-    wanted = []
-    for near_heard in (False, False, True, False):
-        if near_heard:
+    accepted = []
+    for nearby_replied in (False, False, True, False):
+        if nearby_replied:
             hearsay.last_local_reply_at = clock[0]
         believer._schedule_configuration(clock[0])
-        wanted.append(CONFIGURATION not in hearsay.unwanted)
+        accepted.append(CONFIGURATION not in hearsay.unwanted)
         clock[0] += 1.0
-    assert wanted == [True, True, False, False]
+    assert accepted == [True, True, False, False]
     clock[0] += 10.0
     believer._schedule_configuration(clock[0])
     clock[0] += 3.1
@@ -435,9 +452,9 @@
     assert CONFIGURATION in hearsay.unwanted
 
 
-def test_an_entry_that_lags_asks_far_for_configurations(believer, clock):
-    # Calls of its whole region are silent, and those near by answer.
-    answers_in_turn(believer, clock, (clock[0], clock[0], Changes((), 1)))
+def test_lagging_entry_requests_configurations_from_remote_peers(believer, clock):
+    # The calls of the whole region are unresponsive, and nearby peers still reply.
+    store_answers(believer, clock, (clock[0], clock[0], Changes((), 1)))
     assert not believer._region_may_lag()
     believer.operator_watch.note_newer_row(7)
     clock[0] += 1.0
@@ -447,19 +464,19 @@
 
 
 @pytest.mark.parametrize("members", [10, 172, 1810, 20_000])
-def test_reads_of_the_members_take_few_bytes_whatever_their_number(members):
-    # Guards against a table of members that fills links at the target size.
+def test_member_reads_stay_within_bandwidth(members):
+    # Guards against a members table that fills links at the target size.
     assert (
         members * MEMBER_BYTES / members_interval(members) <= MEMBERS_BYTES_PER_SECOND
     )
 
 
-def test_entries_near_by_are_counted_apart(believer):
-    # Guards against a herd that is reckoned from entries that send elsewhere.
-    places = ["dc", "dc", "else", "else", "else"]
+def test_nearby_entries_are_counted_separately(believer):
+    # Guards against load estimates that count entries which send requests elsewhere.
+    data_centres = ["dc", "dc", "else", "else", "else"]
     members = [
-        Member(f"e-{n}", ENTRY, f"127.0.0.{n}:1", place, place)
-        for n, place in enumerate(places)
+        Member(f"e-{n}", ENTRY, f"127.0.0.{n}:1", data_centre, data_centre)
+        for n, data_centre in enumerate(data_centres)
     ]
     rows = [Row(MEMBERS, m.vm, member_row(m).value, n) for n, m in enumerate(members)]
 
@@ -472,9 +489,9 @@
     assert (believer.beliefs.entries, believer.beliefs.near_entries) == (5, 2)
 
 
-def test_changes_of_the_servers_come_together_for_a_part_of_the_drain_time(believer):
-    # Guards against entries that ask the store for each of a hundred servers that are
-    # added one after the other, and against word of one that leaves coming too late.
+def test_server_changes_are_collected_for_a_fraction_of_drain_time(believer):
+    # Guards against entries that query the store for each of a hundred servers added
+    # one after the other, and against late notice of a server that is shutting down.
     drain = believer.cfg.bounds.drain
     assert 0.4 <= believer.server_watch.settle_seconds <= drain / 4
     assert (
--- a/tests/beliefs/test_cold_start.py
+++ b/tests/beliefs/test_cold_start.py
@@ -1,7 +1,7 @@
-"""What a process that has just started takes a version's age to be.
+"""How old a process that has just started assumes a version to be.
 
 Version 2 is confirmed at 17.9 s, version 3 at 21.0 s. All processes are killed at 34 s
-and start at 35.0 s: version 3 is over since 29.0 s, whatever they are told, and when.
+and start at 35.0 s: version 3 expired at 29.0 s, whatever they receive, and when.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
     return [STARTED]
 
 
-def make(kind, clock):
+def new_process(kind, clock):
     return Believer(
         NodeSettings("vm", "127.0.0.1", "dc", "r", 1, StoreSettings("")),
         Member("vm", kind, "127.0.0.1:1", "r"),
@@ -46,23 +46,23 @@
     return Row("op", "version/m", b'{"model":"m","version":%d}' % number, version)
 
 
-def declared(number):
+def declaration(number):
     return Declaration(KEY, number, b'{"model":"m","version":%d}' % number)
 
 
-def store_tells(believer, clock, *answers):
-    """Have the store answer in turn: (asked at, answered at, changes or failure)."""
+def store_answers(believer, clock, *answers):
+    """Have the store answer calls: (requested at, answered at, changes or failure)."""
 
     async def run():
-        for asked_at, answered_at, found in answers:
+        for requested_at, answered_at, outcome in answers:
 
-            async def answer(*call, at=answered_at, found=found):
+            async def answer(*call, at=answered_at, outcome=outcome):
                 clock[0] = at
-                if isinstance(found, Exception):
-                    raise found
-                return found
+                if isinstance(outcome, Exception):
+                    raise outcome
+                return outcome
 
-            clock[0] = asked_at
+            clock[0] = requested_at
             believer.store.read = believer.store.follow = answer
             try:
                 await believer.operator_watch.step()
@@ -72,7 +72,7 @@
     asyncio.run(run())
 
 
-def hears(believer, *declarations, ages=()):
+def receive_gossip(believer, *declarations, ages=()):
     entries = [
         pb.Entry(scope=KEY, slot="declared", ticket=d.number, change=d.content)
         for d in declarations
@@ -88,87 +88,88 @@
     asyncio.run(run())
 
 
-def least(believer, clock, at):
+def least_version(believer, clock, at):
     clock[0] = at
     within = believer.cfg.bounds.version - MARGIN
     return believer.beliefs.least_version("m", within, at)
 
 
-def test_a_version_that_follows_a_stale_first_read_is_not_new(clock):
-    # Guards against a first answer that counts as proof of what was not named yet.
-    entry = make(ENTRY, clock)
-    store_tells(
+def test_version_after_stale_first_read_is_not_new(clock):
+    # Guards against taking the first answer as proof of what was not yet declared.
+    entry = new_process(ENTRY, clock)
+    store_answers(
         entry,
         clock,
         (35.05, 35.1, Changes((row(5, 2),), 5)),
         (35.1, 35.15, Changes((row(9, 3),), 9)),
     )
-    assert least(entry, clock, 37.9) == 3
+    assert least_version(entry, clock, 37.9) == 3
 
 
-def test_a_version_that_a_read_after_lost_history_brings_is_not_new(clock):
-    # Guards against the same where the store forgets its history between two reads.
-    entry = make(ENTRY, clock)
-    store_tells(
+def test_version_read_after_lost_history_is_not_new(clock):
+    # Guards against the same where the store loses its history between two reads.
+    entry = new_process(ENTRY, clock)
+    store_answers(
         entry,
         clock,
         (35.05, 35.1, Changes((row(5, 2),), 5)),
         (35.1, 35.15, HistoryLost("op", 5)),
         (35.3, 35.35, Changes((row(9, 3),), 9)),
     )
-    assert least(entry, clock, 37.9) == 3
+    assert least_version(entry, clock, 37.9) == 3
 
 
-def test_what_a_stale_read_lacked_is_told_to_nobody_as_new(clock):
-    # Guards against one stale reader that talks sound entries out of what is due.
-    stale, sound = make(ENTRY, clock), make(ENTRY, clock)
-    store_tells(
+def test_version_missing_in_stale_read_is_not_reported_as_new(clock):
+    # Guards against a process with a stale read that misleads peers with correct ages.
+    stale, sound = new_process(ENTRY, clock), new_process(ENTRY, clock)
+    store_answers(
         stale,
         clock,
         (35.05, 35.1, Changes((), 3)),
         (35.1, 35.15, Changes((row(9, 3),), 9)),
     )
-    store_tells(sound, clock, (35.05, 35.2, Changes((row(9, 3),), 9)))
-    assert least(sound, clock, 37.9) == 3
+    store_answers(sound, clock, (35.05, 35.2, Changes((row(9, 3),), 9)))
+    assert least_version(sound, clock, 37.9) == 3
     clock[0] = 35.4
     reply = stale.hearsay.handle_sync(sound.hearsay._sync_request())
     sound.hearsay._apply_entries(reply.entries, "stale")
-    assert least(sound, clock, 37.9) == 3
+    assert least_version(sound, clock, 37.9) == 3
 
 
-def test_a_row_that_is_written_again_makes_no_version_new(clock):
-    # Guards against an old version that is dated anew by a repeated call.
-    entry = make(ENTRY, clock)
-    store_tells(
+def test_rewritten_row_does_not_make_its_version_new(clock):
+    # Guards against a repeated write that resets the declaration time of an old
+    # version.
+    entry = new_process(ENTRY, clock)
+    store_answers(
         entry,
         clock,
         (35.05, 35.1, Changes((row(9, 3),), 9)),
         (35.1, 36.0, Changes((row(12, 3),), 12)),
     )
-    assert least(entry, clock, 37.9) == 3
+    assert least_version(entry, clock, 37.9) == 3
 
 
-def test_what_an_agents_first_word_brings_late_is_due(clock):
-    # Guards against an agent whose first word comes late, over a full link.
-    agent = make(AGENT, clock)
+def test_version_in_late_first_answer_of_agent_is_in_effect(clock):
+    # Guards against an agent whose first answer arrives late, over a full link.
+    agent = new_process(AGENT, clock)
     clock[0] = STARTED + agent.cfg.bounds.stable + 0.1
 
     async def read():
         agent._apply_operator_rows([row(9, 3)])
 
     asyncio.run(read())
-    assert least(agent, clock, clock[0]) == 3
+    assert least_version(agent, clock, clock[0]) == 3
 
 
 @pytest.mark.parametrize("kind", [ENTRY, AGENT])
-def test_a_guess_of_a_peer_is_not_new_to_who_heard_of_the_older_one(clock, kind):
-    # Guards against a whole time for version 2 when 3 is heard of without an age.
-    process = make(kind, clock)
+def test_version_without_age_does_not_extend_the_previous_one(clock, kind):
+    # Guards against version 2 counting as new when version 3 arrives without an age.
+    process = new_process(kind, clock)
     if kind == ENTRY:
-        store_tells(process, clock, (35.05, 35.1, Changes((row(5, 2),), 5)))
+        store_answers(process, clock, (35.05, 35.1, Changes((row(5, 2),), 5)))
     else:
-        hears(process, declared(2))
+        receive_gossip(process, declaration(2))
     clock[0] = 38.1
-    hears(process, declared(3))
+    receive_gossip(process, declaration(3))
     over_at = process.beliefs.over_at("m", 2, process.cfg.bounds.version)
     assert over_at <= 38.1
--- a/tests/beliefs/test_hearsay.py
+++ b/tests/beliefs/test_hearsay.py
@@ -1,4 +1,4 @@
-"""What processes tell each other of the operators' declarations."""
+"""Gossip of the operators' declarations between processes."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
     def __init__(self, vm, kind=ENTRY):
         self.vm, self.kind = vm, kind
-        self.changed, self.took = [], []
+        self.declarations, self.rows = [], []
 
     async def start(self):
         loop = asyncio.get_running_loop()
@@ -32,7 +32,7 @@
             Events(self.vm, clock, lambda: 0.0),
             loop.time,
             random.Random(1),
-            lambda newer, source: self.changed.extend(newer),
+            lambda newer, source: self.declarations.extend(newer),
             {"servers": self.watch(loop)},
             frozenset(["servers"]),
         )
@@ -45,7 +45,7 @@
         return TableWatch(
             SimpleNamespace(received=lambda table: 0),
             "servers",
-            self.took.extend,
+            self.rows.extend,
             lambda rows: None,
             lambda seconds: None,
             loop.time,
@@ -53,11 +53,11 @@
             random.Random(1),
         )
 
-    def reads(self, *rows, version):
-        """Have its watch take in rows as if the store had told them."""
+    def apply_rows(self, *rows, version):
+        """Have its watch apply rows as if they came from the store."""
         self.hearsay.tables["servers"]._apply(Changes(rows, version))
 
-    def knows(self, *others):
+    def add_members(self, *others):
         for other in others:
             member = Member(other.vm, other.kind, other.address, "region")
             self.hearsay.members[other.vm] = member
@@ -68,8 +68,8 @@
 
 
 @pytest.fixture
-def meet():
-    """Run a scenario with processes that are stopped in the end."""
+def run_with():
+    """Run a scenario with processes that are stopped at the end."""
 
     def run(scenario, *processes):
         async def body():
@@ -87,88 +87,88 @@
     return run
 
 
-def test_a_revoked_key_is_heard_of_without_the_store(meet):
-    # The store turns one entry away while it serves all others, and the operators
-    # take a key away. The entry hears of it from a peer.
-    calm, cut = Process("calm"), Process("cut")
+def test_revoked_key_arrives_without_the_store(run_with):
+    # The store refuses one entry while it serves all others, and the operators revoke a
+    # key. The entry receives the change from a peer.
+    connected, refused = Process("connected"), Process("refused")
 
     async def scenario():
-        cut.knows(calm)
+        refused.add_members(connected)
         newer = Declaration(CONFIGURATION, 7, b"without the key")
-        calm.hearsay.merge([newer], "store")
-        cut.hearsay.merge([Declaration(CONFIGURATION, 6, b"with it")], "store")
-        await cut.hearsay.sync_with_one()
-        assert cut.changed[-1] == newer
+        connected.hearsay.merge([newer], "store")
+        refused.hearsay.merge([Declaration(CONFIGURATION, 6, b"with it")], "store")
+        await refused.hearsay.sync_with_one()
+        assert refused.declarations[-1] == newer
 
-    meet(scenario, calm, cut)
+    run_with(scenario, connected, refused)
 
 
-def test_a_peer_that_knows_less_reverts_nothing(meet):
+def test_older_peer_reverts_nothing(run_with):
     old, new = Process("old"), Process("new")
 
     async def scenario():
-        new.knows(old)
+        new.add_members(old)
         old.hearsay.merge([Declaration(CONFIGURATION, 6, b"old")], "store")
         new.hearsay.merge([Declaration(CONFIGURATION, 7, b"new")], "store")
         await new.hearsay.sync_with_one()
-        assert [d.number for d in new.changed] == [7]
+        assert [d.number for d in new.declarations] == [7]
 
-    meet(scenario, old, new)
+    run_with(scenario, old, new)
 
 
-def test_agents_near_by_are_told_at_once(meet):
+def test_nearby_agents_are_notified_at_once(run_with):
     entry, agent = Process("entry"), Process("agent", AGENT)
 
     async def scenario():
-        entry.knows(agent)
-        named = Declaration("weights/m", 2, b"{}")
-        await entry.hearsay.notify_agents([named])
-        assert agent.changed == [named]
+        entry.add_members(agent)
+        declared = Declaration("weights/m", 2, b"{}")
+        await entry.hearsay.notify_agents([declared])
+        assert agent.declarations == [declared]
 
-    meet(scenario, entry, agent)
+    run_with(scenario, entry, agent)
 
 
-def test_an_agent_is_not_sent_what_it_does_not_want(meet):
-    # A configuration is 40 KB, and an agent's link carries the streams of its server.
+def test_agent_is_not_sent_unwanted_declarations(run_with):
+    # A configuration has 40 KB, and an agent's link carries the streams of its server.
     entry, agent = Process("entry"), Process("agent", AGENT)
 
     async def scenario():
-        agent.knows(entry)
+        agent.add_members(entry)
         agent.hearsay.merge([Declaration(CONFIGURATION, 1, b"one")], "store")
         agent.hearsay.unwanted.add(CONFIGURATION)
         entry.hearsay.merge([Declaration(CONFIGURATION, 2, b"two")], "store")
         await agent.hearsay.sync_with_one()
-        assert [d.number for d in agent.changed] == [1]
+        assert [d.number for d in agent.declarations] == [1]
         agent.hearsay.unwanted.clear()
         await agent.hearsay.sync_with_one()
-        assert [d.number for d in agent.changed] == [1, 2]
+        assert [d.number for d in agent.declarations] == [1, 2]
 
-    meet(scenario, entry, agent)
+    run_with(scenario, entry, agent)
 
 
-def test_a_leaving_server_is_heard_of_while_the_watch_is_silent(meet):
-    # The store turns one entry away without a word: its hanging call brings nothing,
-    # and no error. A server begins to leave, and the entry went on sending to it for
-    # as long as the call may hang, 15 seconds. Its peers know better.
-    silent, calm = Process("silent"), Process("calm")
+def test_server_shutdown_arrives_while_watch_is_unresponsive(run_with):
+    # The connection of one entry to the store is unresponsive: its pending call gets no
+    # answer and no error. A server shuts down, and the entry sent requests to it until
+    # the call timed out after 15 seconds. Its peers know about the shutdown.
+    unresponsive, connected = Process("unresponsive"), Process("connected")
 
     async def scenario():
-        silent.knows(calm)
+        unresponsive.add_members(connected)
         ready = Row("servers", "i-1", b"ready", 5)
         other = Row("servers", "i-2", b"ready", 6)
         leaving = Row("servers", "i-1", b"draining", 9)
-        gone = Row("servers", "i-2", b"", 10, removed=True)
-        silent.reads(ready, other, version=7)
-        calm.reads(leaving, gone, version=12)
-        await silent.hearsay.sync_with_one()
-        assert silent.took[-2:] == [leaving, gone]
-        await silent.hearsay.sync_with_one()
-        assert len(silent.took) == 4
+        removed = Row("servers", "i-2", b"", 10, removed=True)
+        unresponsive.apply_rows(ready, other, version=7)
+        connected.apply_rows(leaving, removed, version=12)
+        await unresponsive.hearsay.sync_with_one()
+        assert unresponsive.rows[-2:] == [leaving, removed]
+        await unresponsive.hearsay.sync_with_one()
+        assert len(unresponsive.rows) == 4
 
-    meet(scenario, silent, calm)
+    run_with(scenario, unresponsive, connected)
 
 
-def test_a_peer_that_does_not_answer_is_set_back(meet):
+def test_unresponsive_peer_is_not_called_for_a_while(run_with):
     lone = Process("lone")
 
     async def scenario():
@@ -176,133 +176,138 @@
         await lone.hearsay.sync_with_one()
         assert lone.hearsay._choose_peer(lone.hearsay.clock()) is None
 
-    meet(scenario, lone)
+    run_with(scenario, lone)
 
 
-def test_entries_hear_of_requests_that_crash_servers(meet):
-    # A request crashes a server through each of two entries in turn. Neither has seen
-    # enough to refuse it, nor has a third one, and its server goes down as well.
+def test_entries_share_requests_that_crash_servers(run_with):
+    # A request crashes a server through each of two entries. Neither entry has seen
+    # enough crashes to refuse it, nor has a third one, whose server crashes as well.
     one, two, three = Process("one"), Process("two"), Process("three")
 
     async def scenario():
         one.hearsay.quarantine.record("poison", "i-1/1", 0.0)
         two.hearsay.quarantine.record("poison", "i-2/1", 0.0)
-        one.knows(two)
-        three.knows(one)
+        one.add_members(two)
+        three.add_members(one)
         await one.hearsay.sync_with_one()
         await three.hearsay.sync_with_one()
         for process in (one, two, three):
             assert process.hearsay.quarantine.refused("poison", 1.0)
 
-    meet(scenario, one, two, three)
+    run_with(scenario, one, two, three)
 
 
-def test_few_crashes_are_told_of_at_a_time(meet):
-    # A machine goes with all that ran there. Each of its requests is told of with each
-    # question of every entry, and fills the thin links between regions for minutes.
+def test_number_of_crashes_per_message_is_limited(run_with):
+    # A machine fails with all requests that ran there. Every sync request of every
+    # entry reported each of them, and filled the slow links between regions for
+    # minutes.
     one, two = Process("one"), Process("two")
 
     async def scenario():
         for number in range(200):
             one.hearsay.quarantine.record(f"r{number}", "i-1/1", float(number))
-        two.knows(one)
+        two.add_members(one)
         await two.hearsay.sync_with_one()
         assert set(two.hearsay.quarantine.crashes) == {f"r{n}" for n in range(180, 200)}
 
-    meet(scenario, one, two)
+    run_with(scenario, one, two)
 
 
-def test_what_a_peer_packed_badly_is_passed_over(meet):
-    # One damaged declaration hides the others of the same answer, or ends the call.
+def test_damaged_declaration_is_skipped(run_with):
+    # One damaged declaration hid the others of the same message, or ended the call.
     one, two = Process("one"), Process("two")
 
     async def scenario():
-        told = [
+        entries = [
             pb.Entry(scope=CONFIGURATION, slot="packed", ticket=7, change=b"damaged"),
             pb.Entry(scope="weights/m", slot="declared", ticket=2, change=b"{}"),
         ]
-        seen = []
-        two.hearsay.events.listeners.append(lambda kind, told: seen.append(kind))
-        two.hearsay.handle_sync(pb.SyncRequest(vm="one", entries=told))
-        assert [d.key for d in two.changed] == ["weights/m"]
-        assert "content.unreadable" in seen
+        emitted = []
+        two.hearsay.events.listeners.append(lambda kind, fields: emitted.append(kind))
+        two.hearsay.handle_sync(pb.SyncRequest(vm="one", entries=entries))
+        assert [d.key for d in two.declarations] == ["weights/m"]
+        assert "content.unreadable" in emitted
 
-    meet(scenario, one, two)
+    run_with(scenario, one, two)
 
 
-def test_who_is_told_something_does_not_answer_with_all_it_knows(meet, monkeypatch):
-    # Each agent that was told of a version answered with its whole configuration, up to
-    # 1 MB of it over its thin link.
+def test_notified_peer_does_not_reply_with_all_declarations(run_with, monkeypatch):
+    # Each agent that was notified of a version replied with its whole configuration, up
+    # to 1 MB over its slow link.
     entry, agent = Process("entry"), Process("agent", AGENT)
 
     async def scenario():
-        entry.knows(agent)
+        entry.add_members(agent)
         for process in (entry, agent):
             known = [Declaration(CONFIGURATION, 7, b"all routes")]
             process.hearsay.merge(known, "store")
         replies = []
 
-        def answer(hearsay, req):
-            replies.append(answered(hearsay, req))
+        def record_reply(hearsay, req):
+            replies.append(handle_sync(hearsay, req))
             return replies[-1]
 
-        answered = Hearsay.handle_sync
-        monkeypatch.setattr(Hearsay, "handle_sync", answer)
+        handle_sync = Hearsay.handle_sync
+        monkeypatch.setattr(Hearsay, "handle_sync", record_reply)
         await entry.hearsay.notify_agents([Declaration("weights/m", 2, b"{}")])
-        assert [d.key for d in agent.changed] == [CONFIGURATION, "weights/m"]
+        assert [d.key for d in agent.declarations] == [CONFIGURATION, "weights/m"]
         assert [list(reply.entries) for reply in replies] == [[]]
 
-    meet(scenario, entry, agent)
+    run_with(scenario, entry, agent)
 
 
-def far(process):
-    """The process as a member of another region."""
+def remote_member(process):
+    """Return the process as a member of another region."""
     return Member(process.vm, process.kind, process.address, "far")
 
 
-def test_a_far_peer_is_not_asked_for_what_one_near_by_tells(meet):
-    # Agents ask far entries three times in ten, and each configuration came over the
-    # region's one link once more for each of them.
-    agent, near, away = Process("agent", AGENT), Process("near"), Process("away")
+def test_remote_peer_is_not_asked_for_what_nearby_peer_sends(run_with):
+    # Agents poll remote entries in three of ten cases, and each configuration crossed
+    # the region's only link once more for each agent.
+    agent, nearby, remote = (
+        Process("agent", AGENT),
+        Process("nearby"),
+        Process("remote"),
+    )
 
     async def scenario():
-        for process, number in ((agent, 1), (near, 1), (away, 2)):
+        for process, number in ((agent, 1), (nearby, 1), (remote, 2)):
             process.hearsay.merge([Declaration(CONFIGURATION, number, b"{}")], "store")
-        away.hearsay.merge([Declaration("weights/m", 2, b"{}")], "store")
-        agent.knows(near)
+        remote.hearsay.merge([Declaration("weights/m", 2, b"{}")], "store")
+        agent.add_members(nearby)
         await agent.hearsay.sync_with_one()
-        agent.hearsay.members = {"away": far(away)}
+        agent.hearsay.members = {"remote": remote_member(remote)}
         await agent.hearsay.sync_with_one()
-        told = [(d.key, d.number) for d in agent.changed]
-        assert told == [(CONFIGURATION, 1), ("weights/m", 2)]
+        declared = [(d.key, d.number) for d in agent.declarations]
+        assert declared == [(CONFIGURATION, 1), ("weights/m", 2)]
 
-    meet(scenario, agent, near, away)
+    run_with(scenario, agent, nearby, remote)
 
 
-def asks_far(meet, alone=False, near_heard=True):
-    """Numbers of the configuration that an entry knows after it has asked far."""
-    entry, near, away = Process("entry"), Process("near"), Process("away")
+def numbers_after_remote_poll(run_with, region_may_lag=False, nearby_replied=True):
+    """Return the configuration numbers of an entry after it polled a remote peer."""
+    entry, nearby, remote = Process("entry"), Process("nearby"), Process("remote")
 
     async def scenario():
-        entry.hearsay.region_may_lag = lambda: alone
-        for process, number in ((entry, 1), (near, 1), (away, 2)):
+        entry.hearsay.region_may_lag = lambda: region_may_lag
+        for process, number in ((entry, 1), (nearby, 1), (remote, 2)):
             process.hearsay.merge([Declaration(CONFIGURATION, number, b"{}")], "store")
-        if near_heard:
-            entry.knows(near)
+        if nearby_replied:
+            entry.add_members(nearby)
             await entry.hearsay.sync_with_one()
-        entry.hearsay.members = {"away": far(away)}
+        entry.hearsay.members = {"remote": remote_member(remote)}
         await entry.hearsay.sync_with_one()
 
-    meet(scenario, entry, near, away)
-    return [d.number for d in entry.changed]
+    run_with(scenario, entry, nearby, remote)
+    return [d.number for d in entry.declarations]
 
 
-def test_a_far_peer_is_asked_when_nobody_near_by_answers(meet):
-    # A region whose other entries are gone would keep its former configuration.
-    assert asks_far(meet, near_heard=False) == [1, 2]
+def test_remote_peer_is_asked_when_no_nearby_peer_replies(run_with):
+    # A region whose other entries have failed would keep its previous configuration.
+    assert numbers_after_remote_poll(run_with, nearby_replied=False) == [1, 2]
 
 
-def test_a_far_peer_is_asked_when_the_store_turns_a_region_away(meet):
-    # Those near by answer, and know as little.
-    assert asks_far(meet) == [1]
-    assert asks_far(meet, alone=True) == [1, 2]
+def test_remote_peer_is_asked_when_store_refuses_region(run_with):
+    # The nearby peers reply, but know no more than the entry.
+    assert numbers_after_remote_poll(run_with) == [1]
+    assert numbers_after_remote_poll(run_with, region_may_lag=True) == [1, 2]
--- a/tests/beliefs/test_region_readers.py
+++ b/tests/beliefs/test_region_readers.py
@@ -1,26 +1,26 @@
-"""Entries of a region that follow the operators' table for the others."""
+"""Region readers: entries that follow the operators' table for their region."""
 
 import asyncio
 
 import pytest
-from region import REGION, run_region, until
+from region import REGION, run_region, wait_until
 from wasabideck_base import region_readers
 from wasabideck_policy.declarations import weights_key
 from wasabideck_policy.readers import LEAST_ENTRIES
 from wasabideck_policy.rendezvous import rank
 
-# Time for entries that have read the table to find out who follows it (seconds).
+# Time for entries that have read the table to find out which of them follow it.
 SETTLED_SECONDS = 0.8
-# A change has to be in force so long after its confirmation (seconds).
+# Time after its confirmation within which a change has to be in effect.
 IN_EFFECT_SECONDS = 2.0
-# A lost word shows in less than a second; a busy machine is allowed for (seconds).
+# The loss of a reader shows in less than a second; the rest allows for a busy machine.
 DETECTED_SECONDS = 1.4
 KEY = weights_key("m")
 
 
 @pytest.fixture
 def region():
-    """Run a scenario with a region's readers and followers, once they are settled."""
+    """Run a scenario with a region's readers and followers, once roles are settled."""
 
     def run(scenario, size=6):
         async def settled(store, entries):
@@ -28,7 +28,9 @@
             entries.sort(key=lambda entry: ranked.index(entry.vm))
             readers, followers = entries[:2], entries[2:]
             if size >= LEAST_ENTRIES:
-                await until(lambda: all(e.believer.readers.covered for e in followers))
+                await wait_until(
+                    lambda: all(e.believer.readers.covered for e in followers)
+                )
             else:
                 await asyncio.sleep(SETTLED_SECONDS)
             await scenario(store, readers, followers)
@@ -42,109 +44,111 @@
     return [entry.number for entry in entries]
 
 
-def places(entries):
-    """Versions of the store that the entries' copies of the table reflect."""
+def positions(entries):
+    """Return the store versions that the entries' copies of the table reflect."""
     return [entry.believer.operator_watch.version for entry in entries]
 
 
 def ages(entry):
-    """DeclarationAges of versions as the entry would tell them, seconds."""
+    """Return the ages in seconds of versions as the entry would report them."""
     return entry.believer._ages_of(KEY)
 
 
-def test_a_region_of_six_entries_reads_a_configuration_twice(region):
-    # Six whole reads of 359 KB to 1 MB fill the region's link for 1.4 to 4 s.
+def test_six_entries_read_a_configuration_twice(region):
+    # Six full reads of 359 KB to 1 MB fill the region's link for 1.4 to 4 s.
     async def scenario(store, readers, followers):
         entries = [*readers, *followers]
         store.configure(2)
         await asyncio.sleep(SETTLED_SECONDS)
         assert numbers(entries) == [2] * 6
-        assert len(store.sent_of("config")) == 2
+        assert len(store.recipients_of("config")) == 2
 
     region(scenario)
 
 
-def test_two_entries_both_follow(region):
-    # One of two entries would rely on a single reader.
+def test_two_entries_both_follow_the_table(region):
+    # Otherwise one of two entries would rely on a single reader.
     async def scenario(store, readers, followers):
         store.configure(2)
-        await until(lambda: numbers(readers) == [2, 2])
-        assert sorted(store.sent_of("config")) == ["e0", "e1"]
-        assert not readers[0].told("watch.covered")
+        await wait_until(lambda: numbers(readers) == [2, 2])
+        assert sorted(store.recipients_of("config")) == ["e0", "e1"]
+        assert not readers[0].events_of("watch.covered")
 
     region(scenario, 2)
 
 
-def ended(entry):
+def terminated(entry):
     entry.stop()
 
 
-def frozen(entry):
-    entry.freeze()
+def suspended(entry):
+    entry.suspend()
 
 
 def cut_off(entry):
-    entry.store.away.add(entry.vm)
+    entry.store.refused.add(entry.vm)
     entry.believer.readers._watch_task.cancel()
     entry.believer.readers._watch_task = None
 
 
-def silently_cut_off(entry):
-    entry.store.silent.add(entry.vm)
+def with_unresponsive_store(entry):
+    entry.store.unresponsive.add(entry.vm)
 
 
-@pytest.mark.parametrize("fails", [ended, frozen, cut_off])
-def test_a_change_is_in_force_in_time_though_both_readers_fail_beside_it(region, fails):
-    # Both readers end, stand still or lose the store just as a configuration is
-    # confirmed: it is told to nobody, and no follower has a call for it.
+@pytest.mark.parametrize("fails", [terminated, suspended, cut_off])
+def test_change_takes_effect_in_time_when_both_readers_fail(region, fails):
+    # Both readers terminate, are suspended or lose the store just as a configuration is
+    # confirmed: no process is notified of it, and no follower has a pending call.
     async def scenario(store, readers, followers):
         for reader in readers:
             fails(reader)
         store.configure(2)
-        took = await until(lambda: numbers(followers) == [2] * 4)
-        assert took < DETECTED_SECONDS < IN_EFFECT_SECONDS
-        # Some hear it from another follower before they find their readers lost.
-        told = [told for f in followers for told in f.told("watch.uncovered")]
-        assert 1 <= len(told) <= 4
-        assert max(uncovered["age"] for uncovered in told) <= DETECTED_SECONDS
+        duration = await wait_until(lambda: numbers(followers) == [2] * 4)
+        assert duration < DETECTED_SECONDS < IN_EFFECT_SECONDS
+        # Some receive it from another follower before they notice the readers' loss.
+        uncovered = [
+            fields for f in followers for fields in f.events_of("watch.uncovered")
+        ]
+        assert 1 <= len(uncovered) <= 4
+        assert max(fields["age"] for fields in uncovered) <= DETECTED_SECONDS
 
     region(scenario)
 
 
-def test_readers_whose_calls_are_silent_cover_nobody(region):
-    # Guards against a key in force after it was revoked: both readers wait for answers
-    # that cannot come, and tell their followers that they follow the table.
+def test_readers_with_unresponsive_calls_cover_nobody(region):
+    # Guards against a revoked key that stays in effect: both readers wait for answers
+    # that cannot arrive, and report to their followers that they follow the table.
     async def scenario(store, readers, followers):
         for reader in readers:
-            silently_cut_off(reader)
+            with_unresponsive_store(reader)
         store.configure(2)
-        took = await until(lambda: numbers(followers) == [2] * 4)
-        assert took < IN_EFFECT_SECONDS
+        duration = await wait_until(lambda: numbers(followers) == [2] * 4)
+        assert duration < IN_EFFECT_SECONDS
 
     region(scenario)
 
 
-def test_entries_of_a_region_that_sharing_would_spare_little_all_read(region):
-    # Guards against entries that rely on others where that spares a copy or two.
+def test_all_entries_of_a_small_region_read(region):
+    # Guards against entries that rely on others where that saves only a copy or two.
     async def scenario(store, readers, followers):
         store.configure(2)
-        await until(lambda: numbers([*readers, *followers]) == [2] * 4)
-        assert len(store.sent_of("config")) == 4
+        await wait_until(lambda: numbers([*readers, *followers]) == [2] * 4)
+        assert len(store.recipients_of("config")) == 4
 
     region(scenario, 4)
 
 
-def test_a_reader_that_the_store_turns_away_covers_nobody(region):
-    # It answers its followers while it hears of nothing itself.
+def test_reader_refused_by_store_covers_nobody(region):
+    # Such a reader replies to its followers while it receives nothing itself.
     async def scenario(store, readers, followers):
         for reader in readers:
             cut_off(reader)
-        asked = [len(f.reached.follows) for f in followers]
-        await until(lambda: not any(f.believer.readers.covered for f in followers))
-        await until(
+        calls = [len(f.process_store.follows) for f in followers]
+        await wait_until(lambda: not any(f.believer.readers.covered for f in followers))
+        await wait_until(
             lambda: all(
-                len(f.reached.follows) > n
-                for f, n in zip(followers, asked, strict=True)
+                len(f.process_store.follows) > n
+                for f, n in zip(followers, calls, strict=True)
             )
         )
 
@@ -152,55 +156,55 @@
 
 
 def test_one_reader_is_enough(region):
-    # The loss of one of two readers would have all others read for themselves.
+    # Guards against the loss of one of two readers making all followers read.
     async def scenario(store, readers, followers):
         readers[0].stop()
-        await until(lambda: followers[0].told("reader.begun"))
+        await wait_until(lambda: followers[0].events_of("reader.begun"))
         store.configure(2)
-        await until(lambda: numbers(followers) == [2] * 4)
+        await wait_until(lambda: numbers(followers) == [2] * 4)
         await asyncio.sleep(0.3)
-        # The next in rank reads in the place of the one that is gone.
-        sent = store.sent_of("config")
+        # The next entry in rank replaces the reader that terminated.
+        sent = store.recipients_of("config")
         assert sorted(sent) == sorted([readers[1].vm, followers[0].vm])
 
     region(scenario)
 
 
-def test_a_change_whose_telling_was_lost_is_picked_up(region, monkeypatch):
-    # The readers' calls to their followers break off, and nobody repeats them.
-    async def lost(hearsay, declarations, addresses):
+def test_change_with_lost_notification_is_picked_up(region, monkeypatch):
+    # The readers' calls to their followers are aborted, and are not repeated.
+    async def discard(hearsay, declarations, addresses):
         pass
 
     async def scenario(store, readers, followers):
-        monkeypatch.setattr(type(readers[0].believer.hearsay), "push", lost)
+        monkeypatch.setattr(type(readers[0].believer.hearsay), "push", discard)
         store.configure(2)
-        took = await until(lambda: numbers(followers) == [2] * 4)
-        assert took < 4 * region_readers.POLL_INTERVAL_SECONDS
-        assert len(store.sent_of("config")) == 2
+        duration = await wait_until(lambda: numbers(followers) == [2] * 4)
+        assert duration < 4 * region_readers.POLL_INTERVAL_SECONDS
+        assert len(store.recipients_of("config")) == 2
 
     region(scenario)
 
 
-def test_followers_are_told_at_once(region, monkeypatch):
-    # Versions would be in force at followers up to 0.4 s later than at readers.
+def test_followers_are_notified_at_once(region, monkeypatch):
+    # Versions would take effect at followers up to 0.4 s later than at readers.
     async def scenario(store, readers, followers):
         monkeypatch.setattr(region_readers, "POLL_INTERVAL_SECONDS", 60.0)
         await asyncio.sleep(0.25)
         store.configure(2)
-        took = await until(lambda: numbers(followers) == [2] * 4)
-        assert took < 0.2
+        duration = await wait_until(lambda: numbers(followers) == [2] * 4)
+        assert duration < 0.2
 
     region(scenario)
 
 
-def test_a_silent_readers_followers_ask_the_store_when_a_peer_knows_more(
+def test_followers_of_unresponsive_readers_call_store_when_peer_knows_more(
     region, monkeypatch
 ):
-    # Both readers' calls are silent without an error, and they go on to answer.
+    # The calls of both readers are unresponsive without an error, and both still reply.
     async def scenario(store, readers, followers):
         monkeypatch.setattr(region_readers, "MAX_LAG_SECONDS", 0.3)
         for reader in readers:
-            store.silent.add(reader.vm)
+            store.unresponsive.add(reader.vm)
             reader.believer.readers._watch_task.cancel()
             reader.believer.readers._watch_task = asyncio.create_task(
                 asyncio.Event().wait()
@@ -209,57 +213,59 @@
         await asyncio.sleep(0.2)
         assert numbers(followers) == [1] * 4
         followers[0].believer.operator_watch.note_newer_row(store.version)
-        took = await until(lambda: followers[0].number == 2)
-        assert took < 0.3 + DETECTED_SECONDS
-        assert followers[0].told("watch.uncovered")[0]["why"] == "a peer knows more"
+        duration = await wait_until(lambda: followers[0].number == 2)
+        assert duration < 0.3 + DETECTED_SECONDS
+        assert (
+            followers[0].events_of("watch.uncovered")[0]["why"] == "a peer knows more"
+        )
 
     region(scenario)
 
 
-def test_a_follower_goes_on_from_the_readers_very_place(region):
-    # Guards against followers whose readers end, and that read the whole table again,
-    # rows that they have, or not all that the readers lacked.
+def test_follower_continues_from_readers_position(region):
+    # Guards against followers that, after their readers terminate, read the whole table
+    # again, fetch rows that they have, or miss rows that the readers lacked.
     async def scenario(store, readers, followers):
         store.configure(2)
-        await until(lambda: numbers(followers) == [2] * 4)
+        await wait_until(lambda: numbers(followers) == [2] * 4)
         whole = store.rows["op", "config"].version
-        # The readers' place is past all rows of the table, and the store's past it.
+        # The readers' position is past all rows of the table, and the store's past it.
         store.put("other", "first", b"")
-        place = store.version
-        await until(lambda: places(readers) == [place] * 2)
+        position = store.version
+        await wait_until(lambda: positions(readers) == [position] * 2)
         since = asyncio.get_running_loop().time()
-        words = [f.believer.readers.readers for f in followers]
-        await until(lambda: all(word.last_word > since for word in words))
+        readers_seen = [f.believer.readers.readers for f in followers]
+        await wait_until(lambda: all(seen.last_word > since for seen in readers_seen))
         store.put("other", "second", b"")
-        assert places(readers) == [place] * 2
-        assert store.version == place + 1 > whole + 1
-        # Turned away, a follower learns no other place while it tries.
-        store.away = {f.vm for f in followers}
-        before = [len(f.reached.follows) for f in followers]
+        assert positions(readers) == [position] * 2
+        assert store.version == position + 1 > whole + 1
+        # While the store refuses it, a follower's position does not change.
+        store.refused = {f.vm for f in followers}
+        before = [len(f.process_store.follows) for f in followers]
         for reader in readers:
             reader.stop()
 
         def tried():
-            follows = [f.reached.follows for f in followers]
+            follows = [f.process_store.follows for f in followers]
             return [f[n:] for f, n in zip(follows, before, strict=True)]
 
-        await until(lambda: all(tried()))
-        assert {after for follows in tried() for after in follows} == {place}
-        store.away = set()
-        store.name_version(3)
-        found = [f.believer.beliefs for f in followers]
-        await until(lambda: all(b.newest_version("m") == 3 for b in found))
-        assert len(store.sent_of("config", whole)) == 2
+        await wait_until(lambda: all(tried()))
+        assert {after for follows in tried() for after in follows} == {position}
+        store.refused = set()
+        store.declare_version(3)
+        states = [f.believer.beliefs for f in followers]
+        await wait_until(lambda: all(b.newest_version("m") == 3 for b in states))
+        assert len(store.recipients_of("config", whole)) == 2
 
     region(scenario)
 
 
-def test_a_version_is_no_younger_at_followers_than_at_readers(region):
-    # Drafts would go to older weights for longer than the version's time allows.
+def test_followers_do_not_underestimate_age_against_readers(region):
+    # Otherwise draft requests would go to expired weights.
     async def scenario(store, readers, followers):
-        store.name_version(2)
-        found = [f.believer.beliefs for f in followers]
-        await until(lambda: all(b.newest_version("m") == 2 for b in found))
+        store.declare_version(2)
+        states = [f.believer.beliefs for f in followers]
+        await wait_until(lambda: all(b.newest_version("m") == 2 for b in states))
         await asyncio.sleep(2.5 * region_readers.POLL_INTERVAL_SECONDS)
         oldest = max(ages(reader)[2] for reader in readers)
         for follower in followers:
@@ -268,66 +274,66 @@
     region(scenario)
 
 
-def test_a_version_that_readers_cannot_date_is_no_younger_than_it_is(region):
-    # Readers that started beside version 2 tell no ages; a follower would count version
-    # 3 from when it heard of it.
+def test_age_is_not_underestimated_when_readers_do_not_know_it(region):
+    # Readers that started when version 2 was declared report no ages; a follower would
+    # count the age of version 3 from its own time of receipt.
     async def scenario(store, readers, followers):
         now = asyncio.get_running_loop().time
         for reader in readers:
             reader.believer.beliefs.name_version("m", 2, now(), False)
-        named_at = now()
-        store.name_version(3)
-        found = [f.believer.beliefs for f in followers]
-        await until(lambda: all(b.newest_version("m") == 3 for b in found))
+        declared_at = now()
+        store.declare_version(3)
+        states = [f.believer.beliefs for f in followers]
+        await wait_until(lambda: all(b.newest_version("m") == 3 for b in states))
         assert all(ages(reader) == {} for reader in readers)
         for follower in followers:
             age = ages(follower)[3]
-            assert now() - named_at <= age < now() - named_at + 1.0
+            assert now() - declared_at <= age < now() - declared_at + 1.0
 
     region(scenario)
 
 
-def test_a_version_named_while_readers_fail_is_no_younger_than_it_is(region):
-    # A follower asks the store up to a second after the readers' last word; what the
-    # answer tells may be as old as that.
+def test_age_is_not_underestimated_when_readers_fail(region):
+    # A follower calls the store up to a second after the readers' last reply; rows in
+    # the answer may have been written that early.
     async def scenario(store, readers, followers):
         now = asyncio.get_running_loop().time
         for reader in readers:
-            reader.freeze()
-        named_at = now()
-        store.name_version(2)
-        found = [f.believer.beliefs for f in followers]
-        await until(lambda: all(b.newest_version("m") == 2 for b in found))
+            reader.suspend()
+        declared_at = now()
+        store.declare_version(2)
+        states = [f.believer.beliefs for f in followers]
+        await wait_until(lambda: all(b.newest_version("m") == 2 for b in states))
         for follower in followers:
-            assert ages(follower)[2] >= now() - named_at
+            assert ages(follower)[2] >= now() - declared_at
 
     region(scenario)
 
 
-def test_a_version_named_while_readers_are_silent_is_no_younger_than_it_is(region):
-    # Guards against overdue weights: a reader whose answer is overdue tells that it
-    # lacks nothing, and its followers date what they read next from that word.
+def test_age_is_not_underestimated_when_readers_are_unresponsive(region):
+    # Guards against expired weights: a reader whose answer is overdue reports that it
+    # lacks nothing, and its followers count the age of the next rows from that reply.
     async def scenario(store, readers, followers):
         now = asyncio.get_running_loop().time
         for reader in readers:
-            silently_cut_off(reader)
-        named_at = now()
-        store.name_version(2)
-        found = [f.believer.beliefs for f in followers]
-        await until(lambda: all(b.newest_version("m") == 2 for b in found))
+            with_unresponsive_store(reader)
+        declared_at = now()
+        store.declare_version(2)
+        states = [f.believer.beliefs for f in followers]
+        await wait_until(lambda: all(b.newest_version("m") == 2 for b in states))
         for follower in followers:
-            assert ages(follower)[2] >= now() - named_at
+            assert ages(follower)[2] >= now() - declared_at
 
     region(scenario)
 
 
-def test_what_a_follower_reads_again_is_not_taken_for_new(region):
-    # Its rows come as unknown ones from the store, which tells no times: a version that
-    # was named long before would get its whole time once more.
+def test_rows_read_again_by_follower_are_not_new(region):
+    # The store returns known rows as new ones, and without times: a version that was
+    # declared long ago would count as new again.
     async def scenario(store, readers, followers):
-        store.name_version(2)
+        store.declare_version(2)
         follower = followers[0].believer
-        await until(lambda: follower.beliefs.newest_version("m") == 2)
+        await wait_until(lambda: follower.beliefs.newest_version("m") == 2)
         await asyncio.sleep(2.5 * region_readers.POLL_INTERVAL_SECONDS)
         now = asyncio.get_running_loop().time()
         follower.beliefs._versions["m"][-1].certain = False
@@ -339,8 +345,8 @@
     region(scenario)
 
 
-def test_a_covered_entry_counts_as_hearing(region):
-    # It would refuse with 503 what it does not know, and ask five times a second.
+def test_covered_entry_is_not_cut_off(region):
+    # Otherwise it would reply 503 to unknown requests, and poll five times a second.
     async def scenario(store, readers, followers):
         follower = followers[0].believer
         follower.operator_watch._failures = 1
@@ -352,8 +358,9 @@
     region(scenario)
 
 
-def test_an_entry_that_ends_begins_no_call(region, monkeypatch):
-    # The answer to an ask came after the end, and began a call that nobody ended.
+def test_terminating_entry_starts_no_call(region, monkeypatch):
+    # The reply to a poll arrived after the shutdown, and started a call that never
+    # terminated.
     async def ends_late(hearsay, address, table):
         try:
             await asyncio.Event().wait()
@@ -365,7 +372,7 @@
         monkeypatch.setattr(type(follower.believer.hearsay), "poll_reader", ends_late)
         await asyncio.sleep(2 * region_readers.POLL_INTERVAL_SECONDS)
         assert follower.believer.readers.covered
-        follower.freeze()
+        follower.suspend()
         await asyncio.gather(*follower.tasks, return_exceptions=True)
         follower.believer.readers.readers.refuses(readers[0].vm)
         follower.believer.readers.readers.refuses(readers[1].vm)
--- a/tests/beliefs/test_start_turns.py
+++ b/tests/beliefs/test_start_turns.py
@@ -1,4 +1,4 @@
-"""A start of all processes of a region at once, over its one link."""
+"""Full restart of a region whose processes share one link."""
 
 import asyncio
 import random
@@ -20,48 +20,48 @@
 VMS = [f"vm-{n}" for n in range(27)]
 
 
-def delays(at_once, patience):
-    return sorted(read_delay("r", vm, VMS, at_once, patience) for vm in VMS)
+def delays(at_once, wait):
+    return sorted(read_delay("r", vm, VMS, at_once, wait) for vm in VMS)
 
 
-def test_few_read_at_once_and_the_others_in_turn():
+def test_few_processes_read_at_once_and_others_staggered():
     found = delays(4, 2.0)
     assert found[:4] == [0.0] * 4
     assert found[4] == 2.0
-    apart = [b - a for a, b in zip(found[4:], found[5:], strict=False)]
-    assert all(gap == pytest.approx(APART_SECONDS) for gap in apart)
+    gaps = [b - a for a, b in zip(found[4:], found[5:], strict=False)]
+    assert all(gap == pytest.approx(APART_SECONDS) for gap in gaps)
 
 
-def test_reads_that_nobody_spares_fit_into_a_regions_link():
+def test_staggered_reads_fit_into_a_regions_link():
     # Guards against a table of 400 KB that all agents of a region read at once: the
-    # link is full for six seconds, and nothing else of the store's comes through.
+    # link is full for six seconds, and blocks all other traffic of the store.
     assert TABLE_BYTES / LINK_BYTES_PER_SECOND < APART_SECONDS
     assert 4 * TABLE_BYTES / LINK_BYTES_PER_SECOND < 1.0
 
 
-def test_nobody_waits_for_ever():
-    crowd = [f"vm-{n}" for n in range(2000)]
-    assert max(read_delay("r", vm, crowd, 4) for vm in crowd[:50]) <= LONGEST_SECONDS
+def test_read_delay_is_bounded():
+    vms = [f"vm-{n}" for n in range(2000)]
+    assert max(read_delay("r", vm, vms, 4) for vm in vms[:50]) <= LONGEST_SECONDS
 
 
-def test_a_small_region_waits_for_nobody():
+def test_small_region_has_no_read_delay():
     assert delays(27, 2.0) == [0.0] * 27
     assert read_delay("r", "alone", [], 1) == 0.0
 
 
 class Store:
-    """Counts the reads of each table; holds the rows of members that it was given."""
+    """Records reads and writes; its members table holds the given members."""
 
     def __init__(self, members):
         self.rows = [Row(MEMBERS, m.vm, member_row(m).value, 1) for m in members]
-        self.reads, self.writes, self.told = [], [], Changes((), 5)
+        self.reads, self.writes, self.changes = [], [], Changes((), 5)
 
     def received(self, table):
         return 0
 
     async def read(self, table):
         self.reads.append(table)
-        return Changes(tuple(self.rows), 5) if table == MEMBERS else self.told
+        return Changes(tuple(self.rows), 5) if table == MEMBERS else self.changes
 
     async def follow(self, table, after, wait):
         self.reads.append(table)
@@ -72,7 +72,7 @@
         self.writes += writes
 
 
-def believer_of(me, store):
+def new_believer(me, store):
     cfg = NodeSettings(me.vm, "127.0.0.1", "dc", "r", 1, StoreSettings(""))
     return Believer(
         cfg,
@@ -88,7 +88,7 @@
 
 def run_for(seconds, me, store, steps):
     async def run():
-        believer = believer_of(me, store)
+        believer = new_believer(me, store)
         tasks = [asyncio.create_task(step) for step in steps(believer)]
         await asyncio.sleep(seconds)
         for task in tasks:
@@ -100,15 +100,15 @@
     return store
 
 
-def crowd_of(kind, size=27):
-    # Nobody listens there: whoever asks one hears nothing.
+def members_of(kind, size=27):
+    # Nothing listens at this address: calls to these members get no reply.
     return [Member(f"vm-{n}", kind, "127.0.0.1:1", "r", "dc") for n in range(size)]
 
 
-def test_of_many_agents_that_begin_again_a_few_read_the_operators_table_at_once():
-    # Guards against a region whose agents all read the same rows over one link after a
-    # kill of all: none had them for nine seconds, and no weights were loaded.
-    everyone = crowd_of(AGENT)
+def test_few_restarted_agents_read_operators_table_at_once():
+    # Guards against a region whose agents, after all were killed, read the same rows
+    # over one link: none had them for nine seconds, and no weights were loaded.
+    everyone = members_of(AGENT)
     readers = 0
     for me in everyone:
         store = run_for(
@@ -121,8 +121,8 @@
     assert 0 < readers <= CONCURRENT_AGENT_READS
 
 
-def test_of_many_entries_that_begin_again_the_readers_read_the_table_at_once():
-    everyone = crowd_of(ENTRY, 8)
+def test_only_readers_of_restarted_entries_read_table_at_once():
+    everyone = members_of(ENTRY, 8)
     readers = 0
     for me in everyone:
         store = run_for(
@@ -132,9 +132,9 @@
     assert readers == READERS
 
 
-def test_an_entry_reads_the_table_itself_in_the_end():
-    # Guards against followers that wait for ever for readers which are gone.
-    everyone = crowd_of(ENTRY, 8)
+def test_entry_without_readers_reads_the_table_itself():
+    # Guards against followers that wait forever for readers that have terminated.
+    everyone = members_of(ENTRY, 8)
     for me in everyone[:2]:
         store = run_for(
             3.5, me, Store(everyone), lambda b: [b._run_member_reads(), b.readers.run()]
@@ -142,9 +142,9 @@
         assert DEPLOYMENT.operators in store.reads
 
 
-def test_a_process_that_begins_again_reads_the_members_once_and_writes_nothing():
-    # Guards against three calls of each process in the second in which all begin.
-    everyone = crowd_of(AGENT)
+def test_restarted_process_reads_members_once_and_writes_nothing():
+    # Guards against three calls per process in the second of a full restart.
+    everyone = members_of(AGENT)
     store = run_for(
         2.5, everyone[0], Store(everyone), lambda b: [b._run_member_reads()]
     )
@@ -152,15 +152,15 @@
     assert store.writes == []
 
 
-def test_a_process_that_begins_for_the_first_time_writes_its_row_and_looks_again():
+def test_new_process_writes_its_row_and_reads_members_again():
     store = run_for(
-        2.5, crowd_of(AGENT)[0], Store([]), lambda b: [b._run_member_reads()]
+        2.5, members_of(AGENT)[0], Store([]), lambda b: [b._run_member_reads()]
     )
     assert store.reads == [MEMBERS] * 2
     assert [write.key for write in store.writes] == ["vm-0"]
 
 
-def test_a_process_whose_row_names_another_address_writes_it_anew():
+def test_process_with_new_address_rewrites_its_row():
     old = [Member("vm-0", AGENT, "127.0.0.9:1", "r", "dc")]
     new = Member("vm-0", AGENT, "127.0.0.1:1", "r", "dc")
     store = run_for(0.3, new, Store(old), lambda b: [b._run_member_reads()])
--- a/tests/beliefs/test_told.py
+++ b/tests/beliefs/test_told.py
@@ -1,4 +1,4 @@
-"""Contents of declarations between processes."""
+"""Encoding of declarations in gossip messages."""
 
 import random
 import zlib
@@ -13,7 +13,7 @@
 
 
 def configuration(routes, rng):
-    """Content as operators write it: routes whose names differ."""
+    """Return content as operators write it: routes with different names."""
     rows = [
         {
             "name": f"route-{rng.getrandbits(32):08x}",
@@ -28,36 +28,37 @@
     return orjson.dumps({"version": 2, "routes": rows})
 
 
-def test_a_configuration_crosses_a_thin_link_compressed(rng):
-    # Uncompressed, 1 MB for each of four followers keeps a reader's own link of 14
-    # Mbit/s full for 2.4 s.
-    told = Declaration(CONFIGURATION, 2, configuration(4200, rng))
-    entry = declaration_entry(told)
+def test_configuration_is_sent_compressed(rng):
+    # Uncompressed, 1 MB for each of four followers fills a reader's own link of 14
+    # Mbit/s for 2.4 s.
+    declaration = Declaration(CONFIGURATION, 2, configuration(4200, rng))
+    entry = declaration_entry(declaration)
     assert entry.slot == COMPRESSED
-    assert entry.ByteSize() < len(told.content) / 5
-    assert declaration_of(entry) == told
+    assert entry.ByteSize() < len(declaration.content) / 5
+    assert declaration_of(entry) == declaration
 
 
-def test_what_does_not_shrink_is_told_as_it_is():
-    # A version's few bytes would grow.
-    told = Declaration("weights/m", 2, b"{}")
-    entry = declaration_entry(told)
+def test_content_that_does_not_shrink_is_sent_uncompressed():
+    # Compression would make a version's few bytes larger.
+    declaration = Declaration("weights/m", 2, b"{}")
+    entry = declaration_entry(declaration)
     assert (entry.slot, entry.change) == (DECLARED, b"{}")
-    assert declaration_of(entry) == told
+    assert declaration_of(entry) == declaration
 
 
 @pytest.mark.parametrize(
     "data",
     [b"\x00", b"{}", zlib.compress(b"x" * 500)[:-3], random.Random(1).randbytes(99)],
 )
-def test_bytes_that_are_no_packed_content_are_a_typed_failure(data):
-    # A damaged peer would end the service's call, or put half a configuration in force.
+def test_invalid_compressed_content_raises_malformed_content(data):
+    # A faulty peer would end the service's call, or put a partial configuration in
+    # effect.
     with pytest.raises(MalformedContent):
         declaration_of(pb.Entry(scope=CONFIGURATION, slot=COMPRESSED, change=data))
 
 
-def test_content_that_grows_without_bound_is_refused(monkeypatch):
-    # A few KB that unpack to gigabytes take the process's memory.
+def test_content_that_decompresses_beyond_limit_is_refused(monkeypatch):
+    # A few KB that decompress to gigabytes exhaust the process's memory.
     monkeypatch.setattr(packing, "MOST_CONTENT_BYTES", 1000)
     assert unpacked("k", zlib.compress(b"x" * 1000)) == b"x" * 1000
     with pytest.raises(MalformedContent):
--- a/tests/beliefs/test_version_ages.py
+++ b/tests/beliefs/test_version_ages.py
@@ -1,8 +1,16 @@
-"""Ways in which a version's date is taken for later than it is, or is lost."""
+"""Cases in which a version's age is underestimated or its declaration time is lost."""
 
 import asyncio
 
-from test_cold_start import clock, declared, hears, least, make, row, store_tells
+from test_cold_start import (
+    clock,
+    declaration,
+    least_version,
+    new_process,
+    receive_gossip,
+    row,
+    store_answers,
+)
 from test_version_dates import AHEAD, FakeStore, Process, StoppedClock
 from wasabideck_base.hearsay import Hearsay
 from wasabideck_base.rows import Changes
@@ -15,25 +23,29 @@
 
 
 def test_a_followers_date_rests_on_no_reader_whose_own_first_read_was_stale(clock):
-    # Guards against an old version that followers date and their reader can't.
-    reader, follower = make(ENTRY, clock), make(ENTRY, clock)
+    # Guards against followers that assign a declaration time to an old version while
+    # their reader knows none.
+    reader, follower = new_process(ENTRY, clock), new_process(ENTRY, clock)
     stale = (35.05, 35.1, Changes((row(5, 2),), 5))
-    store_tells(follower, clock, stale)
-    store_tells(reader, clock, stale)
-    place = reader.operator_watch.position(clock[0])
-    if place is not None:
-        follower.operator_watch.adopt_position(place, 5, clock[0])
+    store_answers(follower, clock, stale)
+    store_answers(reader, clock, stale)
+    position = reader.operator_watch.position(clock[0])
+    if position is not None:
+        follower.operator_watch.adopt_position(position, 5, clock[0])
     follower.readers._covered = True
-    store_tells(reader, clock, (35.1, 35.2, Changes((row(9, 3),), 9)))
+    store_answers(reader, clock, (35.1, 35.2, Changes((row(9, 3),), 9)))
     assert reader.beliefs.undated("m")
-    hears(follower, declared(3))
-    assert least(follower, clock, 37.9) == 3
+    receive_gossip(follower, declaration(3))
+    assert least_version(follower, clock, 37.9) == 3
 
 
 def test_an_age_counts_from_when_the_peer_was_asked(clock, monkeypatch):
-    # Guards against a version that is younger by what an answer takes on a full link.
-    agent = make(AGENT, clock)
-    entries = [declaration_entry(declared(3)), *age_entries(weights_key("m"), {3: 7.0})]
+    # Guards against underestimating an age by a reply's transit time on a full link.
+    agent = new_process(AGENT, clock)
+    entries = [
+        declaration_entry(declaration(3)),
+        *age_entries(weights_key("m"), {3: 7.0}),
+    ]
 
     async def call(self, address, req, limit):
         clock[0] += limit - 0.1
@@ -45,13 +57,13 @@
     assert agent.beliefs.newest("m").since <= 35.0 - 7.0
 
 
-def test_who_finds_an_older_date_keeps_the_newer_one():
-    # Guards against a newest version whose date is kept by nobody, as all who saw it
-    # named had begun a moment before and not yet found the former one's date.
+def test_newer_time_is_published_after_older_one_is_found():
+    # Guards against a newest version whose time no process publishes, because all that
+    # saw its declaration had just started and did not yet know the previous one's time.
     clock = StoppedClock()
     store = FakeStore(clock)
     store.put("m", b'{"2": %.1f}' % (clock() + AHEAD - 2.0))
-    seen = Process(store, clock)
+    publisher = Process(store, clock)
     read = store.read
 
     async def slow(table):
@@ -59,18 +71,18 @@
         return await read(table)
 
     store.read = slow
-    seen.hears(2)
-    seen.sees(3)
-    seen.run(0.5)
-    begun = Process(store, clock)
-    begun.hears(3)
-    begun.run(0.3)
-    assert not begun.beliefs.undated("m")
-
-
-def test_a_date_is_no_later_where_the_store_is_slow_to_answer():
-    # Guards against a version that seems younger by the time that its keeper's read
-    # took to reach the store or waited there.
+    publisher.record_unknown_time(2)
+    publisher.record_declared(3)
+    publisher.run(0.5)
+    started = Process(store, clock)
+    started.record_unknown_time(3)
+    started.run(0.3)
+    assert not started.beliefs.undated("m")
+
+
+def test_slow_read_of_publisher_does_not_reduce_age():
+    # Guards against underestimating a version's age by the time that the publisher's
+    # read took to reach the store or waited there.
     clock = StoppedClock()
     store = FakeStore(clock)
     read = store.read
@@ -79,26 +91,26 @@
         clock.now += 0.4
         return await read(table)
 
-    seen = Process(store, clock)
-    named_at = clock()
+    publisher = Process(store, clock)
+    declared_at = clock()
     store.read = slow
-    seen.sees(2)
-    seen.run()
+    publisher.record_declared(2)
+    publisher.run()
     store.read = read
-    begun = Process(store, clock)
-    begun.hears(2)
-    begun.run()
-    assert begun.beliefs.newest("m").since <= named_at
+    started = Process(store, clock)
+    started.record_unknown_time(2)
+    started.run()
+    assert started.beliefs.newest("m").since <= declared_at
 
 
-def test_a_kept_date_that_is_to_come_dates_nothing():
-    # Guards against a version that is never due, where the store has another clock.
+def test_published_time_in_the_future_is_ignored():
+    # Guards against a version that never takes effect, where the store's clock changed.
     clock = StoppedClock()
     store = FakeStore(clock)
     store.put("m", b'{"3": %.1f}' % (clock() + AHEAD + 3600.0))
-    begun = Process(store, clock)
-    begun.hears(2)
-    begun.run()
-    begun.beliefs.name_version("m", 3, clock() - 8.0, False, clock())
+    started = Process(store, clock)
+    started.record_unknown_time(2)
+    started.run()
+    started.beliefs.name_version("m", 3, clock() - 8.0, False, clock())
     clock.now += 8.0
-    assert begun.due() == 3
+    assert started.least_version() == 3
--- a/tests/beliefs/test_version_dates.py
+++ b/tests/beliefs/test_version_dates.py
@@ -1,4 +1,4 @@
-"""When versions were named lasts in the store, for processes that begin later."""
+"""Declaration times of versions last in the store for processes that start later."""
 
 import asyncio
 import random
@@ -11,16 +11,16 @@
 from wasabideck_policy.beliefs import Beliefs
 
 WITHIN = 8.0
-# How far the store's clock is ahead of the processes' own (seconds).
+# Offset of the store's clock from the processes' own, in seconds.
 AHEAD = 5000.0
 
 
 class FakeStore:
-    """One table, whose answers take their time or fail when a test says so."""
+    """One table, whose answers are delayed or fail when a test says so."""
 
     def __init__(self, clock):
         self.clock, self.rows, self.version = clock, {}, 7
-        self.way, self.failures, self.reads, self.writes = 0.0, 0, 0, 0
+        self.transit, self.failures, self.reads, self.writes = 0.0, 0, 0, 0
         self.before_write = lambda: None
 
     async def read(self, table):
@@ -28,7 +28,7 @@
         self.reads += 1
         self._fail()
         answered_at = self.clock() + AHEAD
-        self.clock.now += self.way
+        self.clock.now += self.transit
         return Changes(tuple(self.rows.values()), self.version, answered_at)
 
     async def write(self, writes, expected=()):
@@ -53,21 +53,21 @@
 
 
 def same_event(event):
-    """An event in the same state, for another event loop."""
+    """Return an event in the same state, for another event loop."""
     again = asyncio.Event()
     if event.is_set():
         again.set()
     return again
 
 
-async def settled():
-    """Let everything run that waits for no time to pass."""
+async def run_pending_tasks():
+    """Run all tasks until each of them waits for time to pass."""
     for _ in range(50):
         await asyncio.sleep(0)
 
 
 class StoppedClock:
-    """Time that passes when a test says so."""
+    """A clock that advances only when a test says so."""
 
     def __init__(self):
         self.now = 1000.0
@@ -77,12 +77,12 @@
 
 
 class Process:
-    """What one process believes of versions, and its dates."""
+    """The versions known to one process, and its declaration times."""
 
     def __init__(self, store, clock):
         self.beliefs = Beliefs(clock())
         self.clock = clock
-        self.dates = DeclarationTimes(
+        self.declaration_times = DeclarationTimes(
             store,
             lambda model: self.beliefs.version_ages(model, WITHIN, clock()),
             lambda: self.beliefs.undated_models(WITHIN, clock()),
@@ -93,29 +93,36 @@
             random.Random(1),
         )
 
-    def sees(self, number, ago=0.0):
-        """Take in that a version was named just now."""
+    def record_declared(self, number, ago=0.0):
+        """Record that a version was declared just now."""
         self.beliefs.name_version("m", number, self.clock() - ago)
-        self.dates.request_publishing("m")
+        self.declaration_times.request_publishing("m")
 
-    def hears(self, number):
-        """Take in a version that was named nobody knows when."""
+    def record_unknown_time(self, number):
+        """Record a version with an unknown declaration time."""
         now = self.clock()
         self.beliefs.name_version("m", number, now - WITHIN, False, now)
-        self.dates.request_lookup()
+        self.declaration_times.request_lookup()
 
-    def due(self):
+    def least_version(self):
         return self.beliefs.least_version("m", WITHIN, self.clock())
 
     def run(self, seconds=0.1):
         async def run():
-            self.dates._lookup_due = same_event(self.dates._lookup_due)
-            self.dates._publishing_due = same_event(self.dates._publishing_due)
-            loops = (self.dates.run_publishing(), self.dates.run_lookups())
+            self.declaration_times._lookup_due = same_event(
+                self.declaration_times._lookup_due
+            )
+            self.declaration_times._publishing_due = same_event(
+                self.declaration_times._publishing_due
+            )
+            loops = (
+                self.declaration_times.run_publishing(),
+                self.declaration_times.run_lookups(),
+            )
             tasks = [asyncio.create_task(loop) for loop in loops]
-            await settled()
+            await run_pending_tasks()
             await asyncio.sleep(seconds)
-            await settled()
+            await run_pending_tasks()
             for task in tasks:
                 assert not task.done()
                 task.cancel()
@@ -134,115 +141,114 @@
     return FakeStore(clock)
 
 
-def test_a_process_that_begins_when_all_have_ended_knows_how_old_a_version_is(
-    store, clock
-):
-    # Guards against weights that are over, where nobody is left who knows it.
-    seen = Process(store, clock)
-    seen.sees(2)
-    seen.run()
+def test_process_started_after_all_others_ended_knows_version_ages(store, clock):
+    # Guards against expired weights when no running process knows their age.
+    publisher = Process(store, clock)
+    publisher.record_declared(2)
+    publisher.run()
     clock.now += 3.0
-    seen.sees(3)
-    seen.run()
+    publisher.record_declared(3)
+    publisher.run()
     clock.now += 1.0
-    begun = Process(store, clock)
-    begun.hears(3)
-    assert begun.due() == 3
-    begun.run()
-    assert begun.due() == 0
+    started = Process(store, clock)
+    started.record_unknown_time(3)
+    assert started.least_version() == 3
+    started.run()
+    assert started.least_version() == 0
     clock.now += 4.0
-    assert begun.due() == 2
+    assert started.least_version() == 2
     clock.now += 3.0
-    assert begun.due() == 3
-
-
-def test_a_date_is_never_later_than_the_version(store, clock):
-    # Guards against a slow answer of the store by which a version seems younger.
-    store.way = 0.4
-    seen = Process(store, clock)
-    named_at = clock()
-    seen.sees(2)
-    seen.run()
-    begun = Process(store, clock)
-    begun.hears(2)
-    begun.run()
-    (named,) = begun.beliefs._versions["m"]
-    assert named.certain
-    assert named_at - 0.8 - 0.01 <= named.since <= named_at
-
-
-def test_an_answer_that_takes_too_long_dates_nothing(store, clock):
-    # Guards against dates that are seconds too old after a read over a full link.
-    seen = Process(store, clock)
-    seen.sees(2)
-    seen.run()
-    begun = Process(store, clock)
-    begun.hears(2)
-    read, hung = store.read, []
+    assert started.least_version() == 3
+
+
+def test_published_time_is_not_later_than_declaration(store, clock):
+    # Guards against underestimating a version's age by a slow answer of the store.
+    store.transit = 0.4
+    publisher = Process(store, clock)
+    declared_at = clock()
+    publisher.record_declared(2)
+    publisher.run()
+    started = Process(store, clock)
+    started.record_unknown_time(2)
+    started.run()
+    (version,) = started.beliefs._versions["m"]
+    assert version.certain
+    assert declared_at - 0.8 - 0.01 <= version.since <= declared_at
+
+
+def test_too_slow_answer_is_not_used(store, clock):
+    # Guards against ages overestimated by seconds after a read over a full link.
+    publisher = Process(store, clock)
+    publisher.record_declared(2)
+    publisher.run()
+    started = Process(store, clock)
+    started.record_unknown_time(2)
+    read, delayed = store.read, []
 
     async def slow(table):
-        if not hung:
-            hung.append(table)
+        if not delayed:
+            delayed.append(table)
             await asyncio.sleep(60.0)
         return await read(table)
 
     store.read = slow
-    begun.run(1.5)
-    assert hung
-    assert begun.due() == 0
-
-
-def test_nothing_older_is_due_without_a_date(store, clock):
-    # Guards against a version that counts as young because its date was never kept.
-    begun = Process(store, clock)
-    begun.hears(3)
-    begun.run(0.5)
-    assert begun.due() == 3
+    started.run(1.5)
+    assert delayed
+    assert started.least_version() == 0
+
+
+def test_version_without_published_time_is_in_effect(store, clock):
+    # Guards against underestimating the age of a version whose time was never
+    # published.
+    started = Process(store, clock)
+    started.record_unknown_time(3)
+    started.run(0.5)
+    assert started.least_version() == 3
     assert store.reads >= 2
 
 
-def test_a_date_that_is_kept_later_is_found(store, clock):
-    # Guards against a process that looks once and refuses for the rest of the time.
-    begun = Process(store, clock)
-    begun.hears(2)
+def test_time_published_later_is_found(store, clock):
+    # Guards against a process that looks up once and refuses requests after that.
+    started = Process(store, clock)
+    started.record_unknown_time(2)
     store.failures = 1
-    seen = Process(store, clock)
-    seen.beliefs.name_version("m", 2, clock() - 1.0)
+    publisher = Process(store, clock)
+    publisher.beliefs.name_version("m", 2, clock() - 1.0)
 
     async def run():
-        finding = asyncio.create_task(begun.dates.run_lookups())
+        lookup = asyncio.create_task(started.declaration_times.run_lookups())
         await asyncio.sleep(0.05)
-        assert begun.due() == 2
-        await seen.dates._publish("m")
+        assert started.least_version() == 2
+        await publisher.declaration_times._publish("m")
         await asyncio.sleep(1.0)
-        finding.cancel()
+        lookup.cancel()
 
     asyncio.run(run())
-    assert begun.due() == 0
+    assert started.least_version() == 0
 
 
-def test_one_of_several_entries_keeps_a_date(store, clock):
-    # Guards against a write of each entry for each version.
+def test_one_of_several_entries_publishes_a_time(store, clock):
+    # Guards against a write by each entry for each version.
     entries = [Process(store, clock) for _ in range(4)]
     for entry in entries:
-        entry.sees(2)
+        entry.record_declared(2)
         entry.run(0.02)
     assert store.writes == 1
 
 
-def test_a_lost_write_is_made_again(store, clock):
-    # Guards against a version whose date is lost with one answer of the store.
-    seen = Process(store, clock)
-    seen.sees(2)
+def test_lost_write_is_repeated(store, clock):
+    # Guards against losing a version's time with one answer of the store.
+    publisher = Process(store, clock)
+    publisher.record_declared(2)
     store.failures = 2
-    seen.run(2.0)
+    publisher.run(2.0)
     assert set(store.rows) == {"m"}
 
 
-def test_an_older_set_of_dates_replaces_no_newer_one(store, clock):
-    # Guards against an entry that was slow and forgets the newest version's date.
+def test_older_times_do_not_replace_newer_ones(store, clock):
+    # Guards against a slow entry that overwrites the newest version's time.
     slow, fast = Process(store, clock), Process(store, clock)
-    slow.sees(2)
+    slow.record_declared(2)
 
     def overtake():
         store.before_write = lambda: None
@@ -256,28 +262,28 @@
     assert slow.beliefs.newest_version("m") == 3
 
 
-def test_who_guesses_at_a_version_keeps_no_dates(store, clock):
-    # Guards against dates that lack a version which is still running.
-    seen = Process(store, clock)
-    seen.hears(2)
-    seen.sees(3)
-    seen.run()
+def test_process_with_estimated_age_publishes_no_times(store, clock):
+    # Guards against published times that lack an unexpired version.
+    publisher = Process(store, clock)
+    publisher.record_unknown_time(2)
+    publisher.record_declared(3)
+    publisher.run()
     assert store.rows == {}
 
 
 @pytest.mark.parametrize(
     "value", [b"", b"[]", b'{"2": "x"}', b'{"x": 1.0}', b'{"2": null}', b"\xff"]
 )
-def test_a_row_that_cannot_be_read_dates_nothing_and_is_replaced(store, clock, value):
-    # Guards against one bad row after which no date lasts any more.
+def test_unreadable_row_is_ignored_and_replaced(store, clock, value):
+    # Guards against one unreadable row that blocks all later times.
     store.put("m", value)
-    begun = Process(store, clock)
-    begun.hears(2)
-    begun.run()
-    assert begun.due() == 2
-    seen = Process(store, clock)
-    seen.sees(2)
-    seen.run()
-    begun.dates.request_lookup()
-    begun.run(0.5)
-    assert begun.due() == 0
+    started = Process(store, clock)
+    started.record_unknown_time(2)
+    started.run()
+    assert started.least_version() == 2
+    publisher = Process(store, clock)
+    publisher.record_declared(2)
+    publisher.run()
+    started.declaration_times.request_lookup()
+    started.run(0.5)
+    assert started.least_version() == 0
