--- a/packages/wasabideck_agent/wasabideck_agent/__init__.py
+++ b/packages/wasabideck_agent/wasabideck_agent/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each backend server."""
+"""The agent: the process beside each backend server."""
--- a/packages/wasabideck_agent/wasabideck_agent/agent.py
+++ b/packages/wasabideck_agent/wasabideck_agent/agent.py
@@ -1,4 +1,4 @@
-"""What one agent process knows and does, apart from how it is started."""
+"""The state and the periodic tasks of one agent process."""
 
 from __future__ import annotations
 
@@ -43,23 +43,23 @@
     spread: Spread
     runner: Runner
     store: ChunkStore
-    chunks: ChunksService
+    chunks_service: ChunksService
     links: Links
     metrics: Metrics
-    load: LoadReader
-    rows: DeliveryRows
+    load_reader: LoadReader
+    delivery_rows: DeliveryRows
     members: list[Member] = field(factory=list)
     watch: Watch = field(factory=Watch)
     orders: Orders | None = None
-    teller: PeersService | None = None
+    peers_service: PeersService | None = None
 
     @property
     def vm(self) -> str:
-        """Name of the VM."""
+        """Name of this agent's VM."""
         return self.cfg.process.vm
 
     def peers(self, manifest: str = "") -> list[Member]:
-        """Agents of the same service, this one left out."""
+        """Return the other agents of the same service."""
         return [
             m
             for m in self.members
@@ -69,39 +69,39 @@
         ]
 
     def status(self, req: pb.StatusRequest) -> pb.StatusReply:
-        """What this agent tells entries about its server."""
+        """Return the report on this agent's server that entries receive."""
         gate = self.runner.gate
-        prefixes, changes = self.load.prefixes(time.monotonic())
-        # The set is some hundred bytes, and is only told to who lacks it.
-        told = [] if req.cache_changes == changes else prefixes
+        prefixes, changes = self.load_reader.cached_prefixes(time.monotonic())
+        # The set takes some hundred bytes and is sent only to entries that lack it.
+        sent_prefixes = [] if req.cache_changes == changes else prefixes
         return pb.StatusReply(
             vm=self.vm,
             service=self.cfg.server.service,
             leaving=gate.leaving,
             serving=gate.open,
-            ticket=self.runner.in_force.fence,
-            version=self.runner.in_force.version,
-            manifest=self.runner.in_force.manifest,
+            ticket=self.runner.serving.fence,
+            version=self.runner.serving.version,
+            manifest=self.runner.serving.manifest,
             in_progress=gate.running,
             waiting=gate.waiting,
             capacity=gate.capacity,
-            load=self.load.value,
-            load_at=self.load.at,
+            load=self.load_reader.load,
+            load_at=self.load_reader.reported_at,
             service_time=gate.service_time,
-            cached_prefixes=told,
+            cached_prefixes=sent_prefixes,
             cache_changes=changes,
             incarnation=self.runner.attempts.arrivals.incarnation,
             clock_ms=int(self.runner.clock() * 1000),
         )
 
     def make_transfer(self, manifest: Manifest) -> Transfer:
-        """A transfer of a manifest into this agent's store."""
-        place = self.cfg.process
+        """Return a transfer of a manifest's chunks into this agent's store."""
+        process = self.cfg.process
         return Transfer(
-            Member(self.vm, AGENT, "", place.region, place.data_centre),
+            Member(self.vm, AGENT, "", process.region, process.data_centre),
             manifest,
             self.store,
-            self.chunks,
+            self.chunks_service,
             self.platform.origin,
             grpc_calls(self.channels),
             self.links,
@@ -111,8 +111,8 @@
             random.Random(f"{self.cfg.seed}/{self.vm}"),
         )
 
-    def manifests(self) -> ManifestReader:
-        """Reads manifests from peers or from the origin."""
+    def manifest_reader(self) -> ManifestReader:
+        """Return a reader of manifests, from peers or from the origin."""
         return ManifestReader(
             self.vm,
             self.platform.origin,
@@ -122,16 +122,19 @@
         )
 
     async def read_members(self) -> None:
-        """Read the platform's list; keep the last one when it is down."""
+        """Read the platform's list of members; keep the last one if that fails."""
         try:
             self.members = await self.platform.members.read(time.monotonic())
         except PlatformUnavailable as exc:
             self.events.emit("members.unavailable", why=str(exc))
 
-    async def hear_state(self) -> None:
-        """Compare ticket state with the watched entries, else with the table."""
+    async def sync_tickets(self) -> None:
+        """Synchronise the ticket state with the entries that this agent watches.
+
+        It is read from the table until they have sent enough of it.
+        """
         members = watched(self.vm, self.members, self.watch, time.monotonic())
-        await asyncio.gather(*(self._sync(m, len(members)) for m in members))
+        await asyncio.gather(*(self._sync_with(m, len(members)) for m in members))
         if not self.spread.heard:
             try:
                 await self.spread.poll(self.platform.table)
@@ -140,7 +143,7 @@
         if self.cfg.server.kind == PLAIN:
             self.runner.gate.open = self.spread.heard
 
-    async def _sync(self, member: Member, listed: int) -> None:
+    async def _sync_with(self, member: Member, listed: int) -> None:
         channel = self.channels.get(member.address)
         try:
             await self.spread.sync(member.vm, channel, listed)
@@ -148,13 +151,13 @@
             self.channels.drop(member.address, channel)
             self.watch.failed(member.vm, time.monotonic())
 
-    def count_links(self) -> None:
-        """Bring the links' metrics up to date."""
+    def update_link_metrics(self) -> None:
+        """Set the metrics of the links to the bytes transmitted so far."""
         for name in ("up", "down", "region"):
-            passed = getattr(self.links, name).passed
-            self.metrics.link.set({"direction": name}, passed)
+            transmitted = getattr(self.links, name).passed
+            self.metrics.link.set({"direction": name}, transmitted)
 
-    async def forget_old(self) -> None:
-        """Forget attempts that ended long ago."""
+    async def clean_up_attempts(self) -> None:
+        """Forget attempts that ended long ago; stop attempts without a reader."""
         self.runner.attempts.forget_old(time.monotonic())
         await self.runner.stop_orphans()
--- a/packages/wasabideck_agent/wasabideck_agent/assembly.py
+++ b/packages/wasabideck_agent/wasabideck_agent/assembly.py
@@ -1,4 +1,4 @@
-"""Puts an agent's parts together."""
+"""Builds an agent from its settings."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from .claim_store import ClaimStore
 from .delivery_rows import DeliveryRows
 from .links import Link, Links
-from .load import LOAD_SECONDS, LoadReader
+from .load import LOAD_POLL_INTERVAL_SECONDS, LoadReader
 from .once import Holder, Once
 from .orders import Orders
 from .reconcile import Reconciler
 from .runs import Runner
 from .runs_service import RunsService
-from .swap_turns import SwapTurns, ask_status
+from .swap_turns import SwapScheduler, make_status_query
 
-__all__ = ["assemble_agent", "loops_of", "services_of"]
+__all__ = ["assemble_agent", "background_loops", "inner_services"]
 
-SYNC_SECONDS = 1.0
-ROWS_SECONDS = 1.0
-FORGET_SECONDS = 5.0
+SYNC_INTERVAL_SECONDS = 1.0
+ROW_WRITE_INTERVAL_SECONDS = 1.0
+CLEAN_UP_INTERVAL_SECONDS = 5.0
 
 
 def assemble_agent(
@@ -49,14 +49,14 @@
     session: aiohttp.ClientSession,
     keys: Keys | None,
 ) -> Agent:
-    """An agent made from its settings; nothing is sent or started yet."""
+    """Return an agent with its settings; nothing is sent or started yet."""
     platform = connect_platform(cfg.platform, session)
     http = HttpClient(cfg.server.url, cfg.platform.timeout_seconds, session)
     plain = cfg.server.kind == PLAIN
     channels = Channels(events.clock, keys and keys.inner_client)
     spread = Spread(cfg.process.vm, events)
-    # Never drawn from the seed: a process that starts again with the same settings
-    # must not pass for the one that died.
+    # Never derived from the seed: a process that restarts with the same settings must
+    # be distinguishable from the one that died.
     incarnation = uuid.uuid4().hex
     holder = Holder(cfg.process.vm, "", incarnation)
     runner = Runner(
@@ -70,8 +70,8 @@
         quarantine=spread.quarantine,
     )
     if not cfg.server.reports_load:
-        most = cfg.server.capacity
-        runner.slots.limit = AdaptiveLimit(limit=most, most=most)
+        capacity = cfg.server.capacity
+        runner.slots.limit = AdaptiveLimit(limit=capacity, most=capacity)
     store = ChunkStore()
     rate = cfg.weights.link_rate
     links = Links(Link(rate), Link(rate), Link(cfg.weights.region_rate))
@@ -91,41 +91,41 @@
     )
 
 
-def services_of(agent: Agent) -> list:
-    """Services of the inner protocol that an agent answers."""
-    agent.teller = PeersService(agent.spread, agent.status)
-    return [RunsService(agent.runner), agent.teller, agent.chunks]
+def inner_services(agent: Agent) -> list:
+    """Return the services of the inner protocol that an agent provides."""
+    agent.peers_service = PeersService(agent.spread, agent.status)
+    return [RunsService(agent.runner), agent.peers_service, agent.chunks_service]
 
 
-def loops_of(agent: Agent) -> list:
-    """What an agent does for ever, as coroutines to be run side by side."""
+def background_loops(agent: Agent) -> list:
+    """Return an agent's endless loops, as coroutines to run concurrently."""
     every = repeating(agent.events)
     loops = [
         every(agent.cfg.platform.poll_seconds, agent.read_members),
-        every(SYNC_SECONDS, agent.hear_state),
-        every(LOAD_SECONDS, agent.load.read),
-        every(FORGET_SECONDS, agent.forget_old),
+        every(SYNC_INTERVAL_SECONDS, agent.sync_tickets),
+        every(LOAD_POLL_INTERVAL_SECONDS, agent.load_reader.read),
+        every(CLEAN_UP_INTERVAL_SECONDS, agent.clean_up_attempts),
     ]
     if agent.runner.engine:
-        reconciler = _reconciler(agent)
+        reconciler = _make_reconciler(agent)
         loops.append(reconciler.run())
-        loops.append(every(ROWS_SECONDS, reconciler.rows.write))
+        loops.append(every(ROW_WRITE_INTERVAL_SECONDS, reconciler.rows.write))
     return loops
 
 
-def _reconciler(agent: Agent) -> Reconciler:
+def _make_reconciler(agent: Agent) -> Reconciler:
     reconciler: Reconciler
     orders = Orders(
         agent.runner.engine,
         agent.runner,
         agent.events,
         OrderBook(agent.cfg.server.checks_fencing),
-        lambda: reconciler.wanted(),
+        lambda: reconciler.desired_weights(),
     )
-    turns = SwapTurns(
+    scheduler = SwapScheduler(
         agent.vm,
         agent.peers,
-        ask_status(agent.vm, agent.channels),
+        make_status_query(agent.vm, agent.channels),
         random.Random(f"{agent.cfg.seed}/{agent.vm}/turns"),
     )
     reconciler = Reconciler(
@@ -134,13 +134,13 @@
         agent.runner.engine,
         orders,
         agent.spread,
-        agent.manifests().read,
-        agent.rows,
+        agent.manifest_reader().read,
+        agent.delivery_rows,
         agent.store,
         agent.events,
         agent.metrics,
         agent.make_transfer,
-        lambda ticket: turns.wait(ticket, orders.swap_seconds),
+        lambda ticket: scheduler.wait(ticket, orders.last_swap_seconds),
     )
     agent.orders = orders
     return reconciler
--- a/packages/wasabideck_agent/wasabideck_agent/attempts.py
+++ b/packages/wasabideck_agent/wasabideck_agent/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests, with their numbered events, kept for a connection to resume."""
+"""Attempts of requests, with numbered events that a new connection can resume."""
 
 from __future__ import annotations
 
@@ -15,163 +15,174 @@
 
 __all__ = ["Attempt", "Attempts", "EventsForgotten"]
 
-# The server is not read further while so much is unsent to a slow reader.
-UNSENT_BYTES = 256 * 1024
-# Sent events are kept for a resume. A sender is never further ahead of its reader
-# than the flow-control window of one stream (4 MiB, grpclib's default), so whatever
-# lies further back than this has been consumed and is never asked for again.
-SENT_BYTES = 5 << 20
-# Events of all attempts that ended; beyond it the oldest are dropped first.
-ENDED_BYTES = 16 << 20
+# Limit for events not yet sent to a slow reader; above it the server's response is
+# not read further.
+MAX_UNSENT_BYTES = 256 * 1024
+# Sent events are kept so that a reader can resume. A sender is never further ahead of
+# its reader than the flow-control window of one stream (4 MiB, grpclib's default), so
+# the reader has consumed all earlier events and never requests them again.
+MAX_SENT_BYTES = 5 << 20
+# Limit for the events of all ended attempts; above it the oldest are dropped first.
+MAX_ENDED_BYTES = 16 << 20
 
 
 class EventsForgotten(Exception):
-    """A reader asked for events from before the window that is kept."""
+    """A reader requested events that are no longer kept."""
 
     def __init__(self, attempt: str, offset: int):
-        super().__init__(f"attempt {attempt}: event {offset} is kept no longer")
+        super().__init__(f"attempt {attempt}: event {offset} is no longer kept")
         self.attempt = attempt
         self.offset = offset
 
 
 @define(eq=False)
 class Attempt:
-    """One try of a request on this server.
+    """One attempt to run a request on this server.
 
     Attributes
     ----------
     started : bool
-        Whether the server may have begun to run it.
-    unrecorded : bool
-        Whether its answer still has to reach the table, so that it is kept.
+        Whether the server may have started to run it.
+    record_pending : bool
+        Whether its answer is not yet stored in the table. Until then its events are
+        kept.
     readers : int
-        Streams that send its events now.
+        Number of streams that are sending its events.
+    unread_since : float
+        Time at which the last reader left, 0 before the first one.
     """
 
     req: pb.RunRequest
     deadline: float
     started: bool = False
     cancelled: bool = False
-    unrecorded: bool = False
+    record_pending: bool = False
     ended_at: float | None = None
     final: pb.Final | None = None
     task: asyncio.Task | None = None
     readers: int = 0
     unread_since: float = 0.0
-    _first: int = 0
+    _first_offset: int = 0
     _events: deque[pb.RunEvent] = field(factory=deque)
-    _sent: int = 0
+    _next_unsent: int = 0
     _unsent_bytes: int = 0
     _sent_bytes: int = 0
     _changed: asyncio.Event = field(factory=asyncio.Event)
 
-    def begin(self) -> bool:
-        """Whether the server may be given it now.
+    def try_start(self) -> bool:
+        """Mark the attempt as started; False if it was cancelled or has ended.
 
-        No await may stand between this and the call: a cancel that came in between
-        would be told that nothing ran.
+        The caller must not await anything between this and the call of the server:
+        a cancel in between would be answered with "not run".
         """
         if self.cancelled or self.ended_at is not None:
             return False
         self.started = True
         return True
 
-    def add(self, **kind: object) -> None:
+    def add_event(self, **kind: object) -> None:
         """Append one event and wake its readers."""
-        event = pb.RunEvent(offset=self._first + len(self._events), **kind)
+        event = pb.RunEvent(offset=self._first_offset + len(self._events), **kind)
         self._events.append(event)
         self._unsent_bytes += event.ByteSize()
-        self._wake()
+        self._notify()
 
     def finish(self, outcome: Outcome, now: float) -> None:
-        """Append the final event; a second one changes nothing."""
+        """Append the final event, unless there is one."""
         if self.ended_at is None:
             self.ended_at = now
             self.final = final_from(outcome)
-            self.add(final=self.final)
-            # It is remembered for a minute yet, and bodies are the bulk of it.
+            self.add_event(final=self.final)
+            # The attempt is kept for another minute, and the bodies are most of it.
             self.req.ClearField("body")
             self.req.ClearField("prefix")
 
     @property
     def size(self) -> int:
-        """Bytes of the events that are kept."""
+        """Size of the events that are kept, in bytes."""
         return self._sent_bytes + self._unsent_bytes
 
     def drop_events(self) -> None:
-        """Keep no event; whoever still asks for one is told so."""
-        self._first += len(self._events)
+        """Drop all events; a reader of one gets ``EventsForgotten`` afterwards."""
+        self._first_offset += len(self._events)
         self._events.clear()
-        self._sent = self._first
+        self._next_unsent = self._first_offset
         self._sent_bytes = self._unsent_bytes = 0
 
     def answer(self) -> bytes:
-        """All pieces so far, joined."""
-        pieces = (e.piece.data for e in self._events if e.HasField("piece"))
-        return b"".join(pieces)
+        """Return the data of all events so far, joined."""
+        parts = (e.piece.data for e in self._events if e.HasField("piece"))
+        return b"".join(parts)
 
     def event(self, offset: int) -> pb.RunEvent:
-        """An event that has happened; raises ``EventsForgotten`` on an old one."""
-        if offset < self._first:
+        """Return an event of the past.
+
+        Raises
+        ------
+        EventsForgotten
+            The event is no longer kept.
+        """
+        if offset < self._first_offset:
             raise EventsForgotten(self.req.attempt, offset)
-        return self._events[offset - self._first]
+        return self._events[offset - self._first_offset]
 
-    def sent(self, offset: int) -> None:
-        """Note that a reader sent an event, and drop what no reader can ask for."""
-        if offset < self._sent:
+    def mark_sent(self, offset: int) -> None:
+        """Record that an event was sent; drop events that no reader can request."""
+        if offset < self._next_unsent:
             return
         size = self.event(offset).ByteSize()
-        self._sent = offset + 1
+        self._next_unsent = offset + 1
         self._unsent_bytes -= size
         self._sent_bytes += size
-        # An answer that is still to be recorded is needed whole.
-        while self._sent_bytes > SENT_BYTES and self.req.repeatable:
+        # The answer of a call that may not be repeated is stored in the table, so all
+        # of its events are kept.
+        while self._sent_bytes > MAX_SENT_BYTES and self.req.repeatable:
             self._sent_bytes -= self._events.popleft().ByteSize()
-            self._first += 1
-        self._wake()
+            self._first_offset += 1
+        self._notify()
 
-    async def room(self) -> None:
-        """Wait until the reader has caught up: this pushes the server back."""
-        while self._unsent_bytes > UNSENT_BYTES and not self.cancelled:
+    async def wait_for_slow_reader(self) -> None:
+        """Wait until few bytes are unsent: this is the backpressure on the server."""
+        while self._unsent_bytes > MAX_UNSENT_BYTES and not self.cancelled:
             await self._changed.wait()
 
-    async def grown(self, offset: int, timeout: float) -> bool:
-        """Wait until there are events from an offset on; False on a timeout."""
+    async def wait_for_event(self, offset: int, timeout: float) -> bool:
+        """Wait until the event with an offset exists; False on a timeout."""
         limit = asyncio.get_running_loop().time() + timeout
-        while self._first + len(self._events) <= offset:
+        while self._first_offset + len(self._events) <= offset:
             left = limit - asyncio.get_running_loop().time()
-            if left <= 0 or not await self._change(left):
+            if left <= 0 or not await self._wait_for_change(left):
                 return False
         return True
 
-    async def has_reader(self, timeout: float) -> bool:
+    async def wait_for_reader(self, timeout: float) -> bool:
         """Wait until somebody reads the events; False on a timeout."""
         limit = asyncio.get_running_loop().time() + timeout
         while not self.readers:
             left = limit - asyncio.get_running_loop().time()
-            if left <= 0 or not await self._change(left):
+            if left <= 0 or not await self._wait_for_change(left):
                 return self.readers > 0
         return True
 
     def cancel(self) -> None:
-        """Mark it as given up, and wake whoever waits on it."""
+        """Mark the attempt as cancelled and wake all tasks that wait on it."""
         self.cancelled = True
-        self._wake()
+        self._notify()
 
     @contextmanager
     def reading(self, clock: Callable[[], float]) -> Iterator[None]:
-        """Count a reader."""
+        """Count one more reader inside the ``with`` block."""
         self.readers += 1
-        self._wake()
+        self._notify()
         try:
             yield
         finally:
             self.readers -= 1
             self.unread_since = clock()
 
-    async def _change(self, timeout: float) -> bool:
-        # asyncio.wait_for swallows a cancel that comes together with the change: a
-        # stream that was told to stop would go on for ever.
+    async def _wait_for_change(self, timeout: float) -> bool:
+        # asyncio.wait_for swallows a cancellation that arrives together with the
+        # change, and a cancelled stream would continue forever.
         try:
             async with asyncio.timeout(timeout):
                 await self._changed.wait()
@@ -179,32 +190,32 @@
             return False
         return True
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
 
 @define
 class Attempts:
-    """All attempts of this agent process that are known by their id."""
+    """All attempts that this agent process keeps, by id."""
 
     arrivals: Arrivals
-    _known: dict[str, Attempt] = field(factory=dict)
+    _by_id: dict[str, Attempt] = field(factory=dict)
 
-    def get(self, name: str) -> Attempt | None:
-        """A known attempt, or None."""
-        return self._known.get(name)
+    def get(self, attempt_id: str) -> Attempt | None:
+        """Return the attempt with an id, or None if it is unknown."""
+        return self._by_id.get(attempt_id)
 
     def add(self, attempt: Attempt) -> None:
-        """Know an attempt by its id."""
-        self._known[attempt.req.attempt] = attempt
+        """Add an attempt under its id."""
+        self._by_id[attempt.req.attempt] = attempt
 
     def in_progress(self) -> list[Attempt]:
-        """Attempts without a final event."""
-        return [a for a in self._known.values() if a.ended_at is None]
+        """Return the attempts that have no final event."""
+        return [a for a in self._by_id.values() if a.ended_at is None]
 
     def orphans(self, limit: float) -> list[Attempt]:
-        """Attempts in progress that nobody has read since a moment."""
+        """Return attempts in progress whose last reader left before ``limit``."""
         return [
             a
             for a in self.in_progress()
@@ -212,20 +223,20 @@
         ]
 
     def forget_old(self, now: float) -> None:
-        """Drop what ended, or was given up, long ago."""
-        for name, attempt in self._known.items():
-            if attempt.ended_at is not None and not attempt.unrecorded:
-                self.arrivals.end(name, attempt.ended_at)
-        for name in self.arrivals.forget_old(now):
-            self._known.pop(name, None)
+        """Drop attempts that ended, or were cancelled, long ago."""
+        for attempt_id, attempt in self._by_id.items():
+            if attempt.ended_at is not None and not attempt.record_pending:
+                self.arrivals.end(attempt_id, attempt.ended_at)
+        for attempt_id in self.arrivals.forget_old(now):
+            self._by_id.pop(attempt_id, None)
         self._drop_oldest_events()
 
     def _drop_oldest_events(self) -> None:
-        ended = [a for a in self._known.values() if a.ended_at is not None]
+        ended = [a for a in self._by_id.values() if a.ended_at is not None]
         total = sum(attempt.size for attempt in ended)
         for attempt in sorted(ended, key=lambda a: a.ended_at):
-            if total <= ENDED_BYTES:
+            if total <= MAX_ENDED_BYTES:
                 return
-            if not attempt.unrecorded and not attempt.readers:
+            if not attempt.record_pending and not attempt.readers:
                 total -= attempt.size
                 attempt.drop_events()
--- a/packages/wasabideck_agent/wasabideck_agent/claim_batch.py
+++ b/packages/wasabideck_agent/wasabideck_agent/claim_batch.py
@@ -1,4 +1,4 @@
-"""Writes of claims that arrive together share one transaction."""
+"""Batching of concurrent claim writes into shared transactions."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 __all__ = ["ClaimBatch"]
 
-MOST_TOGETHER = 64
-MOST_SENDERS = 2
+MAX_BATCH_ROWS = 64
+MAX_SENDERS = 2
 
 
 @define(eq=False)
-class _Job:
+class _PendingWrite:
     check: Check
     write: Write
     done: asyncio.Future
@@ -24,92 +24,120 @@
 
 @define
 class ClaimBatch:
-    """Carries out conditional writes of single rows, many in one transaction.
+    """Executes conditional writes of single rows, many in one transaction.
 
-    Nothing waits for company: a write goes out at once while few transactions are
-    under way, and whatever arrives meanwhile goes out together with the next.
+    No write is delayed to fill a batch: it is sent at once while fewer than
+    ``senders`` transactions are in flight. Writes that arrive in the meantime are
+    sent together in the next transaction.
 
     Attributes
     ----------
-    together : int
-        Rows of one transaction at the most.
+    max_rows : int
+        Maximum number of rows in one transaction.
     senders : int
-        Transactions under way at the most.
+        Maximum number of transactions in flight.
     transactions, rows : int
-        How many of each were sent.
+        Number of transactions and rows sent so far.
     """
 
     table: Table
     transactions: int = 0
     rows: int = 0
-    together: int = MOST_TOGETHER
-    senders: int = MOST_SENDERS
-    _jobs: list[_Job] = field(factory=list)
-    _sending: set[asyncio.Task] = field(factory=set)
+    max_rows: int = MAX_BATCH_ROWS
+    senders: int = MAX_SENDERS
+    _pending: list[_PendingWrite] = field(factory=list)
+    _sender_tasks: set[asyncio.Task] = field(factory=set)
 
     async def put(self, check: Check, write: Write) -> CheckFailed | None:
-        """Write a row if its check holds; None when done.
+        """Write a row if its check holds; return None when it is written.
 
         Raises
         ------
         PlatformUnavailable
-            No answer; its ``maybe_applied`` tells whether the write may stand.
+            There was no response; ``maybe_applied`` says whether the write may have
+            taken effect.
         """
-        job = _Job(check, write, asyncio.get_running_loop().create_future())
-        self._jobs.append(job)
-        if len(self._sending) < self.senders:
+        pending = _PendingWrite(
+            check, write, asyncio.get_running_loop().create_future()
+        )
+        self._pending.append(pending)
+        if len(self._sender_tasks) < self.senders:
             sender = asyncio.create_task(self._send_all())
-            self._sending.add(sender)
-            sender.add_done_callback(self._sending.discard)
-        # The write goes on when whoever asked for it is cancelled.
-        return await asyncio.shield(job.done)
+            self._sender_tasks.add(sender)
+            sender.add_done_callback(self._sender_tasks.discard)
+        # The write continues when the task that requested it is cancelled.
+        return await asyncio.shield(pending.done)
 
     async def _send_all(self) -> None:
-        while batch := self._next():
+        while batch := self._next_batch():
             await self._send(batch)
 
-    def _next(self) -> list[_Job]:
-        """Jobs of distinct rows: two checks of one row cannot both hold."""
-        batch: dict[str, _Job] = {}
-        for job in self._jobs:
-            if len(batch) < self.together and job.check.key not in batch:
-                batch[job.check.key] = job
-        chosen = {id(job) for job in batch.values()}
-        self._jobs = [job for job in self._jobs if id(job) not in chosen]
+    def _next_batch(self) -> list[_PendingWrite]:
+        """Remove and return writes of distinct rows.
+
+        Two checks of the same row cannot both hold.
+        """
+        batch: dict[str, _PendingWrite] = {}
+        for pending in self._pending:
+            if len(batch) < self.max_rows and pending.check.key not in batch:
+                batch[pending.check.key] = pending
+        chosen = {id(pending) for pending in batch.values()}
+        self._pending = [
+            pending for pending in self._pending if id(pending) not in chosen
+        ]
         return list(batch.values())
 
-    async def _send(self, batch: list[_Job]) -> None:
-        """Carry out a batch; a row whose check fails is told and left out."""
+    async def _send(self, batch: list[_PendingWrite]) -> None:
+        """Send a batch; repeat it without each row whose check fails."""
         while batch:
             self.transactions += 1
             self.rows += len(batch)
             try:
                 failed = await self.table.transact(
-                    [job.check for job in batch], [job.write for job in batch]
+                    [pending.check for pending in batch],
+                    [pending.write for pending in batch],
                 )
             except PlatformUnavailable as exc:
-                _tell(batch, lambda job, exc=exc: job.done.set_exception(_copy(exc)))
+                _resolve(
+                    batch,
+                    lambda pending, exc=exc: pending.done.set_exception(_copy(exc)),
+                )
                 return
             except Exception as exc:
-                # Anything else would leave every caller of the batch waiting.
-                _tell(batch, lambda job, exc=exc: job.done.set_exception(exc))
+                # An unexpected error must not leave the callers of the batch waiting.
+                _resolve(
+                    batch, lambda pending, exc=exc: pending.done.set_exception(exc)
+                )
                 return
             if failed is None:
-                _tell(batch, lambda job: job.done.set_result(None))
+                _resolve(batch, lambda pending: pending.done.set_result(None))
                 return
-            loser = next(job for job in batch if job.check is failed.check)
-            _tell([loser], lambda job, failed=failed: job.done.set_result(failed))
-            batch = [job for job in batch if job is not loser]
+            rejected = next(
+                pending for pending in batch if pending.check is failed.check
+            )
+            _resolve(
+                [rejected],
+                lambda pending, failed=failed: pending.done.set_result(failed),
+            )
+            batch = [pending for pending in batch if pending is not rejected]
 
 
 def _copy(exc: PlatformUnavailable) -> PlatformUnavailable:
-    """One exception each: several tasks would add their frames to a shared one."""
-    return PlatformUnavailable(exc.url, "the batch got no answer", exc.maybe_applied)
-
+    """Return a separate exception for one of the tasks that wait for a batch.
 
-def _tell(jobs: list[_Job], tell: Callable[[_Job], None]) -> None:
-    for job in jobs:
-        if not job.done.done():
-            tell(job)
-            # Whoever asked may be cancelled by now, and would never fetch it.
-            job.done.exception()
+    Several tasks would add their frames to the traceback of a shared exception.
+    """
+    return PlatformUnavailable(
+        exc.url, "the transaction got no response", exc.maybe_applied
+    )
+
+
+def _resolve(
+    batch: list[_PendingWrite], set_outcome: Callable[[_PendingWrite], None]
+) -> None:
+    for pending in batch:
+        if not pending.done.done():
+            set_outcome(pending)
+            # Mark the exception as retrieved: the task that waited for it may have
+            # been cancelled.
+            pending.done.exception()
--- a/packages/wasabideck_agent/wasabideck_agent/claim_store.py
+++ b/packages/wasabideck_agent/wasabideck_agent/claim_store.py
@@ -1,4 +1,4 @@
-"""Claims in the platform's table, made just before a call runs."""
+"""Claims in the platform's table, inserted just before a call runs."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 
 __all__ = ["ClaimStore", "ClaimUnresolved"]
 
-MOST_TRIES = 5
-SETTLE_SECONDS = 0.5
-# A refusal waits so long for its claim to be given back, and goes out unsettled then.
-RELEASE_SECONDS = 0.5
+MAX_TAKE_TRIES = 5
+RETRY_INTERVAL_SECONDS = 0.5
+# Maximum time that a refusal waits for the release of its claim. After that it is sent
+# as unsettled.
+RELEASE_TIMEOUT_SECONDS = 0.5
 
 
 class ClaimUnresolved(PlatformUnavailable):
-    """The claim's answer was lost and it could not be read back; nothing ran."""
+    """The response to the claim was lost and reading it back failed; nothing ran."""
 
     def __init__(self, url: str, why: str):
         super().__init__(url, why, maybe_applied=True)
@@ -43,47 +44,56 @@
 class ClaimStore:
     """Takes and closes claims.
 
-    A row goes from absent or released to running, and from running, by its own
-    attempt alone, to done or released. It is never deleted, so a write whose answer
-    was lost and that is applied late meets a row that its check does not fit: each
-    write but the last also counts the row's ``draw`` on.
+    A row changes from absent or released to running, and from running to done or
+    released; only the attempt that holds the claim does the latter. A row is never
+    deleted. So a write whose response was lost and that is applied late finds a row
+    that fails its check: each write except the last one also increments the row's
+    ``draw``.
+
+    Attributes
+    ----------
+    retry_seconds : float
+        Interval between tries of a background write.
     """
 
     table: Table
     events: Events
-    pause: float = SETTLE_SECONDS
+    retry_seconds: float = RETRY_INTERVAL_SECONDS
     batch: ClaimBatch = field(init=False)
-    _settling: dict[str, asyncio.Task] = field(factory=dict)
+    _release_tasks: dict[str, asyncio.Task] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Share transactions between all writes."""
+        """Create the batch through which all writes share transactions."""
         self.batch = ClaimBatch(self.table)
 
     async def take(self, claim: Claim) -> Verdict:
-        """Insert a claim; the verdict says whether its holder may run.
+        """Insert a claim; the verdict says whether its holder may run the call.
 
         Raises
         ------
         PlatformUnavailable
-            The table is down and the claim certainly does not stand.
+            The table is unavailable and the claim certainly does not exist.
         ClaimUnresolved
-            The claim may stand; the call must not run all the same.
+            The claim may exist; the call must not run all the same.
         """
         found: Claim | None = None
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_TAKE_TRIES):
             verdict = await self._take_once(claim, found)
             if verdict.action != "retake":
                 return verdict
             found = verdict.claim
-        raise ClaimUnresolved(claim_key(claim.organisation, claim.key), "contended")
+        raise ClaimUnresolved(
+            claim_key(claim.organisation, claim.key),
+            "other attempts kept changing the claim",
+        )
 
-    async def finish(self, claim: Claim, answer: bytes) -> None:
-        """Store the answer of a run, so that a repeat gets it again.
+    async def store_answer(self, claim: Claim, answer: bytes) -> None:
+        """Store the answer of a run, which later requests with its key get.
 
         Raises
         ------
         PlatformUnavailable
-            It may not be stored; storing it again is safe.
+            The answer may not be stored; storing it again is safe.
         """
         text = base64.b64encode(answer).decode()
         row = asdict(evolve(claim, state=DONE, answer=text))
@@ -91,37 +101,39 @@
         key = claim_key(claim.organisation, claim.key)
         await self.batch.put(Check(CLAIMS, key, held), Write(CLAIMS, key, row))
 
-    async def finish_soon(self, claim: Claim, answer: bytes) -> None:
-        """Store the answer of a run, however long the table is down."""
+    async def store_answer_with_retries(self, claim: Claim, answer: bytes) -> None:
+        """Store the answer of a run; retry for as long as the table is unavailable."""
         while True:
             try:
-                return await self.finish(claim, answer)
+                return await self.store_answer(claim, answer)
             except PlatformUnavailable as exc:
                 why = str(exc)
                 self.events.emit("claim.unrecorded", attempt=claim.attempt, why=why)
-                await asyncio.sleep(self.pause)
+                await asyncio.sleep(self.retry_seconds)
 
     async def release(self, claim: Claim) -> bool:
-        """Give a held claim back, since nothing ran; whether that is in force."""
-        self.settle(claim)
-        await asyncio.wait({self._settling[claim.attempt]}, timeout=RELEASE_SECONDS)
-        return claim.attempt not in self._settling
-
-    def settle(self, claim: Claim) -> None:
-        """See to it, however long it takes, that this claim does not stand."""
-        if claim.attempt not in self._settling:
-            task = asyncio.create_task(self._settle(claim))
-            self._settling[claim.attempt] = task
-            task.add_done_callback(lambda _: self._settling.pop(claim.attempt))
+        """Release a claim under which nothing ran; whether the release is stored."""
+        self.release_in_background(claim)
+        await asyncio.wait(
+            {self._release_tasks[claim.attempt]}, timeout=RELEASE_TIMEOUT_SECONDS
+        )
+        return claim.attempt not in self._release_tasks
+
+    def release_in_background(self, claim: Claim) -> None:
+        """Release a claim, whether it was inserted or not; retry until it is done."""
+        if claim.attempt not in self._release_tasks:
+            task = asyncio.create_task(self._release_with_retries(claim))
+            self._release_tasks[claim.attempt] = task
+            task.add_done_callback(lambda _: self._release_tasks.pop(claim.attempt))
 
     async def read(self, claim: Claim) -> Claim | None:
-        """The row of a claim's key; raises ``PlatformUnavailable``."""
+        """Return the row of a claim's key; raises ``PlatformUnavailable``."""
         return await read_claim(self.table, claim.organisation, claim.key)
 
     @property
-    def unsettled(self) -> int:
-        """Claims that may stand although nothing runs under them."""
-        return len(self._settling)
+    def pending_releases(self) -> int:
+        """Number of claims that may still be held although nothing runs under them."""
+        return len(self._release_tasks)
 
     async def _take_once(self, claim: Claim, found: Claim | None) -> Verdict:
         try:
@@ -129,20 +141,21 @@
         except PlatformUnavailable as exc:
             if not exc.maybe_applied:
                 raise
-            return await self._read_back(claim, found, exc)
+            return await self._resolve_lost_write(claim, found, exc)
         if failed is None:
             return Verdict("run", claim)
         return judge(claim, Claim(**failed.found))
 
-    async def _read_back(
+    async def _resolve_lost_write(
         self, claim: Claim, found: Claim | None, lost: PlatformUnavailable
     ) -> Verdict:
-        """What became of an insert whose answer was lost."""
+        """Find out whether an insert whose response was lost has taken effect."""
         try:
             now = await self.read(claim)
             if now == found:
-                # It did not take effect, but may yet: a row of our own in its place
-                # makes its check fail, and we go on from there.
+                # The insert has not taken effect but still may. Writing a released
+                # row of this attempt makes the late insert fail its check; the claim
+                # is then taken again on top of that row.
                 barred = await self._put(found, released(claim))
                 now = following(found, released(claim))
                 if barred is not None:
@@ -151,22 +164,23 @@
             raise ClaimUnresolved(exc.url, str(exc)) from lost
         return judge(claim, now)
 
-    async def _settle(self, claim: Claim) -> None:
+    async def _release_with_retries(self, claim: Claim) -> None:
         while True:
             try:
-                if await self._settled(claim):
+                if await self._try_release(claim):
                     return
             except PlatformUnavailable as exc:
                 self.events.emit("claim.unsettled", attempt=claim.attempt, why=str(exc))
-            await asyncio.sleep(self.pause)
+            await asyncio.sleep(self.retry_seconds)
 
-    async def _settled(self, claim: Claim) -> bool:
-        """Put a released row where this claim stands, or may yet come to stand."""
+    async def _try_release(self, claim: Claim) -> bool:
+        """Write a released row if this claim holds the key or may still get it."""
         found = await self.read(claim)
         ours = found is not None and found.attempt == claim.attempt
         if found is None or found.state == RELEASED or ours:
             return await self._put(found, released(claim)) is None
-        # Somebody else's, running or done: no insert of ours fits it any more.
+        # The row belongs to another attempt, running or done. No insert of this
+        # attempt passes its check any more.
         return True
 
     async def _put(self, found: Claim | None, row: Claim) -> CheckFailed | None:
--- a/packages/wasabideck_agent/wasabideck_agent/delivery_rows.py
+++ b/packages/wasabideck_agent/wasabideck_agent/delivery_rows.py
@@ -1,4 +1,4 @@
-"""Rows of deliveries, which wait in memory while the table is down."""
+"""Rows of deliveries, which are kept in memory while the table is unavailable."""
 
 from __future__ import annotations
 
@@ -9,48 +9,49 @@
 
 __all__ = ["DeliveryRows"]
 
-DELIVERIES = "deliveries"
+DELIVERIES_TABLE = "deliveries"
 
 
 @define
 class DeliveryRows:
-    """Writes each delivery's row, however long the table is down."""
+    """Writes a row for each delivery, retrying while the table is unavailable."""
 
     table: Table
-    _waiting: dict[str, Write] = field(factory=dict)
-    _found: dict[str, Write] = field(factory=dict)
+    _pending: dict[str, Write] = field(factory=dict)
+    _pending_if_absent: dict[str, Write] = field(factory=dict)
 
     def add(self, delivery: Delivery) -> None:
-        """Have a row written."""
+        """Schedule the write of a delivery's row."""
         key = row_key(delivery)
-        self._waiting[key] = Write(DELIVERIES, key, asdict(delivery))
-        self._found.pop(key, None)
+        self._pending[key] = Write(DELIVERIES_TABLE, key, asdict(delivery))
+        self._pending_if_absent.pop(key, None)
 
-    def add_found(self, delivery: Delivery) -> None:
-        """Have a row written unless there is one.
+    def add_if_absent(self, delivery: Delivery) -> None:
+        """Schedule the write of a delivery's row unless the table has one.
 
-        For weights that a restarted agent finds in force: its predecessor may have
-        died with the row in memory, and the report would lack the VM.
+        A restarted agent calls this for weights that it finds in effect. The agent
+        before it may have died before it wrote the row, and the report would lack
+        the VM.
         """
         key = row_key(delivery)
-        self._found[key] = Write(DELIVERIES, key, asdict(delivery))
+        self._pending_if_absent[key] = Write(DELIVERIES_TABLE, key, asdict(delivery))
 
     async def write(self) -> None:
-        """Write what waits; what cannot be written now goes on waiting."""
+        """Write the scheduled rows; keep those that cannot be written now."""
         try:
-            await self._write_waiting()
-            for key, write in list(self._found.items()):
-                await self.table.transact([Check(DELIVERIES, key, None)], [write])
-                self._found.pop(key, None)
+            await self._write_pending()
+            for key, write in list(self._pending_if_absent.items()):
+                await self.table.transact([Check(DELIVERIES_TABLE, key, None)], [write])
+                self._pending_if_absent.pop(key, None)
         except (PlatformUnavailable, PlatformRefused):
             return
 
-    async def _write_waiting(self) -> None:
-        writes = list(self._waiting.values())
+    async def _write_pending(self) -> None:
+        writes = list(self._pending.values())
         if not writes:
             return
         await self.table.transact([], writes)
         for write in writes:
-            # A row that was changed meanwhile is written again.
-            if self._waiting.get(write.key) is write:
-                del self._waiting[write.key]
+            # A row that has changed in the meantime is written again.
+            if self._pending.get(write.key) is write:
+                del self._pending[write.key]
--- a/packages/wasabideck_agent/wasabideck_agent/load.py
+++ b/packages/wasabideck_agent/wasabideck_agent/load.py
@@ -1,4 +1,4 @@
-"""What the engine reports: its load, and which prompt prefixes it holds."""
+"""Reads the engine's reports: its load and the prompt prefixes in its cache."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from wasabideck_base.servers import Engine
 from wasabideck_policy.affinity import CacheView
 
-__all__ = ["LOAD_SECONDS", "LoadReader"]
+__all__ = ["LOAD_POLL_INTERVAL_SECONDS", "LoadReader"]
 
-LOAD_SECONDS = 0.5
+LOAD_POLL_INTERVAL_SECONDS = 0.5
 
 
 @define
@@ -22,37 +22,37 @@
     Attributes
     ----------
     engine : Engine or None
-        None where the server reports nothing.
-    value : float
-        0 idle to 1 full; more when requests wait inside the engine.
-    at : float
-        Wall time of the report, seconds.
+        None if the server reports nothing.
+    load : float
+        From 0 (idle) to 1 (full); more when requests wait inside the engine.
+    reported_at : float
+        Wall time of the load report, seconds.
     """
 
     engine: Engine | None
-    value: float = 0.0
-    at: float = 0.0
+    load: float = 0.0
+    reported_at: float = 0.0
     cache: CacheView = field(factory=CacheView)
     clock: Callable[[], float] = time.monotonic
 
     async def read(self) -> None:
-        """Read the reports; the last ones stand when the engine is silent."""
+        """Read the reports; keep the last ones when the engine does not respond."""
         if self.engine is None:
             return
         try:
             report = await self.engine.load()
             events = await self.engine.cache_events(self.cache.sequence)
             url = self.engine.http.base
-            self.value, self.at = understood(url, report, _numbers)
-            understood(url, events, lambda told: self.cache.apply(told, self.clock()))
+            self.load, self.reported_at = understood(url, report, _parse_load)
+            understood(url, events, lambda body: self.cache.apply(body, self.clock()))
         except PlatformUnavailable:
             return
 
-    def prefixes(self, now: float) -> tuple[list[str], int]:
-        """Prefixes that the engine is believed to hold, and their set's number."""
+    def cached_prefixes(self, now: float) -> tuple[list[str], int]:
+        """Return the prefixes assumed to be cached, and the number of their set."""
         held = self.cache.held(now)
         return held, self.cache.changes
 
 
-def _numbers(report: dict) -> tuple[float, float]:
+def _parse_load(report: dict) -> tuple[float, float]:
     return float(report["load"]), float(report["at"])
--- a/packages/wasabideck_agent/wasabideck_agent/orders.py
+++ b/packages/wasabideck_agent/wasabideck_agent/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine, one in flight at a time, and the gate behind them."""
+"""Orders to the engine, one in flight at a time, and the gate that depends on them."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 __all__ = ["OrderUnconfirmed", "OrderWithheld", "Orders"]
 
-LOOK_SECONDS = 0.2
-SERVER_ERROR = 500
+SETTLE_POLL_INTERVAL_SECONDS = 0.2
+MIN_SERVER_ERROR_STATUS = 500
 
 
 class OrderUnconfirmed(WasabideckError):
-    """The engine was ordered, and does not serve what it was ordered to."""
+    """The engine was sent an order and does not serve what it was ordered to."""
 
     def __init__(self, ticket: int, fence: int):
         super().__init__(f"ordered ticket {ticket}, the engine has {fence}")
@@ -48,134 +48,139 @@
 
 @define
 class Orders:
-    """Orders one engine, reads it back, and opens or closes the gate by it.
+    """Sends orders to one engine, reads its state back and sets the gate by it.
 
     Attributes
     ----------
-    wanted : callable
-        What the server is to serve by the tickets known now.
-    swap_seconds : float
-        What the last order took.
+    desired_weights : callable
+        Returns what the server should serve according to the known tickets.
+    last_swap_seconds : float
+        Duration of the last order.
     """
 
     engine: Engine
     runner: Runner
     events: Events
     book: OrderBook
-    wanted: Callable[[], Wanted | None]
+    desired_weights: Callable[[], Wanted | None]
     clock: Callable[[], float] = time.monotonic
-    pause: Callable[[float], Awaitable[None]] = asyncio.sleep
-    swap_seconds: float = 0.0
-    _begun: bool = False
+    sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
+    last_swap_seconds: float = 0.0
+    _has_read_back: bool = False
     _in_flight: asyncio.Task | None = None
 
     @property
     def serving(self) -> Loaded:
         """What the engine served when it was last read back."""
-        return self.runner.in_force
+        return self.runner.serving
 
     async def read_back(self) -> None:
-        """Read what the engine serves, and set the gate by it."""
-        if self._sending:
+        """Read what the engine serves and set the gate by it."""
+        if self._order_in_flight:
             return
-        self._take(await self.engine.loaded())
+        self._apply_read_back(await self.engine.loaded())
 
-    async def bring(
+    async def apply(
         self,
-        wanted: Wanted,
+        desired: Wanted,
         chunks: Mapping[str, int],
-        turn: Callable[[], Awaitable[None]],
+        wait_for_turn: Callable[[], Awaitable[None]],
     ) -> None:
-        """Have the engine serve what its tickets name.
+        """Make the engine serve the weights that its tickets declare.
 
         Parameters
         ----------
         chunks : mapping of str to int
-            How many chunks make each manifest whole.
-        turn : callable
-            Awaited before the server stops for the swap.
+            Number of chunks of each complete manifest.
+        wait_for_turn : callable
+            Awaited before the server stops serving for the swap.
 
         Raises
         ------
         OrderWithheld
             The engine has a later ticket.
         OrderUnconfirmed
-            It serves something else after the order.
+            The engine serves something else after the order.
         PlatformUnavailable, PlatformRefused
-            It cannot be reached, or refuses.
+            The engine cannot be reached, or refuses the order.
         """
-        await self._settle()
-        if not self._due(wanted):
+        await self._wait_until_settled()
+        if not self._is_due(desired):
             return
         if self.runner.gate.open:
-            await turn()
-        # Whoever waits here may be cancelled by a newer ticket. The order is not: it
-        # is on its way, and the next one must know how it ended.
-        self._in_flight = asyncio.create_task(self._send(wanted, chunks))
-        self._in_flight.add_done_callback(_retrieve)
+            await wait_for_turn()
+        # A newer ticket may cancel the task that waits here, but not the order: it has
+        # been sent, and the next order needs to know how it ended.
+        self._in_flight = asyncio.create_task(self._send(desired, chunks))
+        self._in_flight.add_done_callback(_retrieve_exception)
         await asyncio.shield(self._in_flight)
-        if self._due(wanted):
-            raise OrderUnconfirmed(wanted.ticket, self.serving.fence)
+        if self._is_due(desired):
+            raise OrderUnconfirmed(desired.ticket, self.serving.fence)
 
-    async def finish(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until no order is in flight."""
-        if self._sending:
+        if self._order_in_flight:
             await asyncio.wait({self._in_flight})
 
     @property
-    def _sending(self) -> bool:
+    def _order_in_flight(self) -> bool:
         return self._in_flight is not None and not self._in_flight.done()
 
-    async def _settle(self) -> None:
-        """Wait until the fate of every earlier order is known."""
-        await self.finish()
+    async def _wait_until_settled(self) -> None:
+        """Wait until the outcome of every earlier order is known."""
+        await self.wait_until_idle()
         await self.read_back()
         while not self.book.settled(self.clock()):
-            await self.pause(LOOK_SECONDS)
+            await self.sleep(SETTLE_POLL_INTERVAL_SECONDS)
             await self.read_back()
 
-    async def _send(self, wanted: Wanted, chunks: Mapping[str, int]) -> None:
-        order = ordered_by(wanted)
-        self.events.emit("order.sent", ticket=wanted.ticket, version=order.version)
-        # New requests wait while the engine swaps; those in progress go on on the
-        # version that they began with.
+    async def _send(self, desired: Wanted, chunks: Mapping[str, int]) -> None:
+        order = ordered_by(desired)
+        self.events.emit("order.sent", ticket=desired.ticket, version=order.version)
+        # New requests wait while the engine swaps. Requests in progress continue on
+        # the version that they started with.
         self.runner.gate.open = False
-        begun = self.clock()
+        started = self.clock()
         try:
             await self.engine.order(order, chunks)
         except PlatformUnavailable as exc:
             if exc.maybe_applied:
-                self.book.lose(wanted.ticket, self.clock())
-            self.events.emit("order.lost", ticket=wanted.ticket, why=str(exc))
+                self.book.lose(desired.ticket, self.clock())
+            self.events.emit("order.lost", ticket=desired.ticket, why=str(exc))
         except PlatformRefused as exc:
-            # An error of the engine says nothing of what it will do with the order.
-            if exc.answer_status >= SERVER_ERROR:
-                self.book.lose(wanted.ticket, self.clock())
-            self.events.emit("order.refused", ticket=wanted.ticket, why=str(exc))
+            # After an internal error the engine may still execute the order.
+            if exc.answer_status >= MIN_SERVER_ERROR_STATUS:
+                self.book.lose(desired.ticket, self.clock())
+            self.events.emit("order.refused", ticket=desired.ticket, why=str(exc))
         else:
-            self.swap_seconds = self.clock() - begun
+            self.last_swap_seconds = self.clock() - started
         finally:
-            self._take(await self.engine.loaded())
+            self._apply_read_back(await self.engine.loaded())
 
-    def _take(self, serving: Loaded) -> None:
-        if not self._begun:
-            self._begun = True
+    def _apply_read_back(self, serving: Loaded) -> None:
+        if not self._has_read_back:
+            self._has_read_back = True
             self.book.begin(serving, self.clock())
         self.book.see(serving)
         if serving.fence < self.book.highest:
             self.events.emit("engine.reverted", fence=serving.fence)
-        self.runner.in_force = serving
-        self.runner.gate.open = gate_open(serving, self.wanted(), self.book.highest)
+        self.runner.serving = serving
+        self.runner.gate.open = gate_open(
+            serving, self.desired_weights(), self.book.highest
+        )
 
-    def _due(self, wanted: Wanted) -> bool:
-        if matches(self.serving, wanted):
+    def _is_due(self, desired: Wanted) -> bool:
+        if matches(self.serving, desired):
             return False
-        if not order_due(self.serving, wanted):
-            raise OrderWithheld(wanted.ticket, self.serving.fence)
+        if not order_due(self.serving, desired):
+            raise OrderWithheld(desired.ticket, self.serving.fence)
         return True
 
 
-def _retrieve(task: asyncio.Task) -> None:
-    """Take a failure that nobody waits for any more; the next read-back shows it."""
+def _retrieve_exception(task: asyncio.Task) -> None:
+    """Mark the task's exception as retrieved, in case no task waits for it any more.
+
+    The next read-back shows the effect of the failure.
+    """
     if not task.cancelled():
         task.exception()
--- a/packages/wasabideck_agent/wasabideck_agent/reconcile.py
+++ b/packages/wasabideck_agent/wasabideck_agent/reconcile.py
@@ -1,4 +1,4 @@
-"""Brings the backend server to what its tickets name."""
+"""Brings the backend server to the state that its tickets declare."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 __all__ = ["Reconciler"]
 
-RETRY_SECONDS = 0.5
-WATCH_SECONDS = 1.0
+RETRY_INTERVAL_SECONDS = 0.5
+CHECK_INTERVAL_SECONDS = 1.0
 
 _FAILURES = (
     PlatformUnavailable,
@@ -39,12 +39,12 @@
 
 @define
 class Reconciler:
-    """Transfers, verifies, orders and reads back, until the engine is as wanted.
+    """Transfers, verifies, orders and reads back until the engine has its target state.
 
     Attributes
     ----------
-    take_turn : callable
-        Awaited with the ticket before a serving engine is swapped.
+    wait_for_swap_turn : callable
+        Awaited with the ticket before a serving engine swaps.
     """
 
     vm: str
@@ -58,36 +58,36 @@
     events: Events
     metrics: Metrics
     make_transfer: Callable[[Manifest], Transfer]
-    take_turn: Callable[[int], Awaitable[None]]
+    wait_for_swap_turn: Callable[[int], Awaitable[None]]
     wall: Callable[[], float] = time.time
     _deliveries: dict[str, Delivery] = field(factory=dict)
-    _done: dict[str, int] = field(factory=dict)
+    _finished_tickets: dict[str, int] = field(factory=dict)
 
     async def run(self) -> None:
-        """Follow the ticket state for ever."""
+        """Follow the ticket state forever."""
         changed = self.spread.subscribe()
         while True:
             changed.clear()
-            step = asyncio.create_task(self._settle())
+            step = asyncio.create_task(self._keep_reconciled())
             try:
-                await self._until_superseded(step, changed)
+                await self._wait_until_superseded(step, changed)
             finally:
-                # A newer ticket supersedes a transfer in progress: chunks that both
-                # versions share stay in the store, nothing else of it is kept. An
-                # order in flight is not cancelled by this.
+                # A newer ticket supersedes a transfer in progress. Chunks that both
+                # versions share stay in the store; nothing else of the transfer is
+                # kept. An order in flight is not cancelled by this.
                 step.cancel()
                 await asyncio.wait({step})
 
-    async def _until_superseded(
+    async def _wait_until_superseded(
         self, step: asyncio.Task, changed: asyncio.Event
     ) -> None:
-        """Wait until a ticket names something else for this very server.
+        """Wait until a ticket declares other weights for this server.
 
-        Thousands of changes a day concern others. If each began a transfer here
-        anew, one that takes minutes would hardly ever come to its end.
+        Thousands of changes a day concern other servers. If each of them restarted
+        the transfer here, a transfer that takes minutes would hardly ever finish.
         """
-        aims = self.wanted(), self.standby()
-        while aims == (self.wanted(), self.standby()):
+        targets = self.desired_weights(), self.standby_weights()
+        while targets == (self.desired_weights(), self.standby_weights()):
             newer = asyncio.create_task(changed.wait())
             try:
                 await asyncio.wait({step, newer}, return_when=asyncio.FIRST_COMPLETED)
@@ -97,99 +97,102 @@
                 step.result()
             changed.clear()
 
-    async def _settle(self) -> None:
-        """Bring the engine to what is wanted, and see that it stays there."""
+    async def _keep_reconciled(self) -> None:
+        """Bring the engine to its target state and check repeatedly that it stays."""
         while True:
-            done = await self._attempt_once()
-            await asyncio.sleep(WATCH_SECONDS if done else RETRY_SECONDS)
+            done = await self._reconcile_once()
+            await asyncio.sleep(
+                CHECK_INTERVAL_SECONDS if done else RETRY_INTERVAL_SECONDS
+            )
 
-    async def _attempt_once(self) -> bool:
+    async def _reconcile_once(self) -> bool:
         try:
-            # Read back before anything is known too: a gate that is open by mistake
-            # of an engine's restart closes here.
+            # Read back even before any ticket is known: this closes a gate that an
+            # engine's restart has left open by mistake.
             await self.orders.read_back()
             if not self.spread.heard:
                 return False
-            if wanted := self.wanted():
-                await self._bring(wanted)
-            if standby := self.standby():
-                await self._hold(standby)
-            self._forget_superseded()
+            if target := self.desired_weights():
+                await self._apply(target)
+            if standby := self.standby_weights():
+                await self._hold_standby(standby)
+            self._drop_superseded_chunks()
             return True
         except _FAILURES as exc:
             self.events.emit("reconcile.failed", why=str(exc))
             return False
 
-    def wanted(self) -> Wanted | None:
-        """What this server is to serve by the tickets known now."""
+    def desired_weights(self) -> Wanted | None:
+        """Return what this server should serve according to the known tickets."""
         return wanted_of(self.spread.state, self.service, self.vm)
 
-    def standby(self) -> Assignment | None:
-        """What this server is to hold without serving it."""
+    def standby_weights(self) -> Assignment | None:
+        """Return what this server should hold without serving it."""
         return desired(self.spread.state, self.service, self.vm, STANDBY)
 
-    async def _bring(self, wanted: Wanted) -> None:
-        """Have the model and its adapters served."""
-        if matches(self.orders.serving, wanted):
-            self._found(wanted)
+    async def _apply(self, target: Wanted) -> None:
+        """Make the engine serve the model and its adapters."""
+        if matches(self.orders.serving, target):
+            self._record_found(target)
             return
         chunks = {}
-        for part in wanted.parts:
+        for part in target.parts:
             if manifest := await self._fetch(part):
                 await self._stage(manifest)
                 chunks[manifest.digest] = len(manifest.chunks)
-        await self.orders.bring(wanted, chunks, lambda: self.take_turn(wanted.ticket))
-        self._in_force(wanted)
-        for part in wanted.parts:
-            await self._finish(part, self.wall())
-
-    async def _hold(self, standby: Assignment) -> None:
-        """Have weights held whole, for a ticket that is to come."""
-        if self._is_done(standby):
+        await self.orders.apply(
+            target, chunks, lambda: self.wait_for_swap_turn(target.ticket)
+        )
+        self._report_in_effect(target)
+        for part in target.parts:
+            await self._finish_delivery(part, self.wall())
+
+    async def _hold_standby(self, standby: Assignment) -> None:
+        """Transfer complete weights in advance of the ticket that will declare them."""
+        if self._is_finished(standby):
             return
         if manifest := await self._fetch(standby):
             await self._stage(manifest)
-        await self._finish(standby, 0.0)
+        await self._finish_delivery(standby, 0.0)
 
-    def _forget_superseded(self) -> None:
-        """Drop the chunks of weights that no ticket names any more.
+    def _drop_superseded_chunks(self) -> None:
+        """Drop the chunks of weights that no ticket declares any more.
 
-        Only once all that is wanted is whole and in force: until then the chunks of
-        the version in force may be shared by the next one, and peers may want them.
+        This happens only when all target weights are complete and in effect. Until
+        then the next version may share chunks with the version in effect, and peers
+        may request them.
         """
-        wanted, serving = self.wanted(), self.orders.serving
-        parts = [*(wanted.parts if wanted else ()), self.standby()]
-        named = {part.change.manifest for part in parts if part}
-        self.store.keep_only({*named, serving.manifest, *serving.adapters.values()})
-
-    def _found(self, wanted: Wanted) -> None:
-        """Note what was in force before this process had anything to do with it."""
-        missing = [part for part in wanted.parts if not self._is_done(part)]
+        target, serving = self.desired_weights(), self.orders.serving
+        parts = [*(target.parts if target else ()), self.standby_weights()]
+        declared = {part.change.manifest for part in parts if part}
+        self.store.keep_only({*declared, serving.manifest, *serving.adapters.values()})
+
+    def _record_found(self, target: Wanted) -> None:
+        """Record weights that were in effect before this process started."""
+        missing = [part for part in target.parts if not self._is_finished(part)]
         for part in missing:
             delivery = self._delivery(part)
             delivery.in_force = self.wall()
-            self.rows.add_found(delivery)
-            self._done[part.change.slot] = part.ticket
+            self.rows.add_if_absent(delivery)
+            self._finished_tickets[part.change.slot] = part.ticket
         if missing:
-            self._in_force(wanted)
+            self._report_in_effect(target)
 
-    def _is_done(self, part: Assignment) -> bool:
-        return self._done.get(part.change.slot) == part.ticket
+    def _is_finished(self, part: Assignment) -> bool:
+        return self._finished_tickets.get(part.change.slot) == part.ticket
 
-    def _delivery(self, wanted: Assignment) -> Delivery:
-        """The delivery of a ticket; the same one when it is tried again."""
-        change = wanted.change
+    def _delivery(self, part: Assignment) -> Delivery:
+        """Return the delivery of a ticket; retries of a ticket share one delivery."""
+        change = part.change
         known = self._deliveries.get(change.slot)
-        if known and known.ticket == wanted.ticket:
+        if known and known.ticket == part.ticket:
             return known
-        self.events.emit(
-            "transfer.begun", ticket=wanted.ticket, manifest=change.manifest
-        )
+        self.events.emit("transfer.begun", ticket=part.ticket, manifest=change.manifest)
         self._deliveries[change.slot] = delivery = Delivery(
             vm=self.vm,
             service=self.service,
             slot=change.slot,
-            ticket=wanted.ticket,
+            ticket=part.ticket,
             model=change.model,
             version=change.version,
             manifest=change.manifest,
@@ -198,7 +201,7 @@
         return delivery
 
     async def _fetch(self, part: Assignment) -> Manifest | None:
-        """Fetch and verify what a ticket names; None when it names nothing."""
+        """Fetch and verify a ticket's weights; None if the ticket declares none."""
         delivery = self._delivery(part)
         digest = part.change.manifest
         if not digest:
@@ -225,18 +228,18 @@
                 data = self.store.get(digest)
                 await self.engine.stage(manifest.digest, index, data)
 
-    def _in_force(self, wanted: Wanted) -> None:
-        self.metrics.ticket.set({}, wanted.ticket)
+    def _report_in_effect(self, target: Wanted) -> None:
+        self.metrics.ticket.set({}, target.ticket)
         self.events.emit(
-            "version.in-force", ticket=wanted.ticket, version=wanted.change.version
+            "version.in-force", ticket=target.ticket, version=target.change.version
         )
 
-    async def _finish(self, part: Assignment, in_force: float) -> None:
-        """Write the delivery's row, unless an earlier order brought this part."""
-        if self._is_done(part):
+    async def _finish_delivery(self, part: Assignment, in_force: float) -> None:
+        """Write the delivery's row, unless an earlier order delivered this part."""
+        if self._is_finished(part):
             return
         delivery = self._delivery(part)
         delivery.in_force = in_force
-        self._done[part.change.slot] = part.ticket
+        self._finished_tickets[part.change.slot] = part.ticket
         self.rows.add(delivery)
         await self.rows.write()
--- a/packages/wasabideck_agent/wasabideck_agent/runs.py
+++ b/packages/wasabideck_agent/wasabideck_agent/runs.py
@@ -1,4 +1,4 @@
-"""Runs requests on the backend server."""
+"""Admission and execution of requests on the backend server."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 
 __all__ = ["Runner"]
 
-ORPHAN_SECONDS = 10.0
-# Requests that break within this time of each other broke in one crash.
+ORPHAN_TIMEOUT_SECONDS = 10.0
+# Requests that fail within this time of each other failed in the same crash.
 SAME_CRASH_SECONDS = 0.5
 
-_CANCELLED = NotRun(Failure("Cancelled", "given up before it ran"))
+_CANCELLED = NotRun(Failure("Cancelled", "cancelled before it ran"))
 
 
 @define
 class Runner:
-    """Admits attempts and runs them, each at most once.
+    """Admits attempts and runs each of them at most once.
 
     Attributes
     ----------
-    in_force : Loaded
-        What the engine serves, as last read back.
-    streams : int
-        Streams of events that are open now.
-    heard_at : float
-        When a run request came last.
+    serving : Loaded
+        What the engine served when it was last read back.
+    open_streams : int
+        Number of event streams to readers that are open.
+    last_request_at : float
+        Time of the last run request, on ``clock``.
     """
 
     vm: str
@@ -60,25 +60,25 @@
     once: Once
     attempts: Attempts
     quarantine: Quarantine = field(factory=Quarantine)
-    in_force: Loaded = field(factory=Loaded)
+    serving: Loaded = field(factory=Loaded)
     clock: Callable[[], float] = time.monotonic
     wall: Callable[[], float] = time.time
-    solo: Solo = field(factory=Solo)
+    exclusive_run: Solo = field(factory=Solo)
     crashes: int = 0
-    streams: int = 0
-    heard_at: float = 0.0
+    open_streams: int = 0
+    last_request_at: float = 0.0
     slots: Slots = field(init=False)
     _crashed_at: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
-        """Make the slots behind the gate."""
+        """Create the slots that the gate controls."""
         self.slots = Slots(self.gate, self.clock)
 
     def start(self, req: pb.RunRequest) -> Attempt:
-        """The attempt of that id, begun now unless it is known."""
+        """Return the attempt with the request's id; start it if it is unknown."""
         if known := self.attempts.get(req.attempt):
             return known
-        self.heard_at = now = self.clock()
+        self.last_request_at = now = self.clock()
         attempt = Attempt(req, now + req.deadline_ms / 1000)
         barred = self.attempts.arrivals.arrive(
             req.attempt, req.incarnation, req.not_after_ms / 1000, now
@@ -86,21 +86,25 @@
         self.attempts.add(attempt)
         if barred:
             attempt.finish(NotRun(barred, 1.0), now)
-        elif refusal := self._barred(attempt) or self.slots.refusal(attempt):
+        elif refusal := self._crash_refusal(attempt) or self.slots.refusal(attempt):
             attempt.finish(refusal, now)
         else:
             attempt.task = asyncio.create_task(self._run(attempt))
         return attempt
 
-    def idle(self, quiet_seconds: float) -> bool:
-        """Whether all is finished, heard by its readers, recorded, and quiet since."""
-        open_work = self.attempts.in_progress() or self.streams
-        open_claims = self.once.unrecorded or self.once.claims.unsettled
-        quiet = self.clock() - self.heard_at > quiet_seconds
-        return not open_work and not open_claims and quiet
+    def idle(self, min_idle_seconds: float) -> bool:
+        """Whether the runner has had nothing to do for some time.
+
+        All attempts have ended, all streams and claims are closed, all answers are
+        recorded, and no run request has arrived for ``min_idle_seconds``.
+        """
+        open_work = self.attempts.in_progress() or self.open_streams
+        open_claims = self.once.unrecorded or self.once.claims.pending_releases
+        no_requests = self.clock() - self.last_request_at > min_idle_seconds
+        return not open_work and not open_claims and no_requests
 
     async def cancel(self, req: pb.CancelRequest) -> bool:
-        """Give an attempt up; whether it certainly did not and will not run."""
+        """Cancel an attempt; whether it certainly did not run and never will."""
         attempt = self.attempts.get(req.attempt)
         if attempt is None:
             return self.attempts.arrivals.give_up(
@@ -111,7 +115,10 @@
         return final is not None and final.outcome == pb.Final.NOT_RUN
 
     async def stop(self, attempt: Attempt) -> None:
-        """Stop an attempt: at once before it started, later only an engine's."""
+        """Stop an attempt that has not started, or a repeatable one that has.
+
+        A call that may not be repeated is left to finish once it has started.
+        """
         if attempt.ended_at is not None:
             return
         if not attempt.started:
@@ -124,24 +131,29 @@
             await self._stop_engine(attempt)
 
     async def stop_orphans(self) -> None:
-        """Stop what nobody has read for long: its entry died with its caller's link."""
-        for attempt in self.attempts.orphans(self.clock() - ORPHAN_SECONDS):
+        """Stop attempts without a reader for ``ORPHAN_TIMEOUT_SECONDS``.
+
+        Their entry died, and with it the connection of the caller.
+        """
+        for attempt in self.attempts.orphans(self.clock() - ORPHAN_TIMEOUT_SECONDS):
             self.events.emit("attempt.orphaned", attempt=attempt.req.attempt)
             await self.stop(attempt)
 
-    def _barred(self, attempt: Attempt) -> NotRun | None:
-        """Refusal of a request that crashes servers, or whose server just crashed."""
+    def _crash_refusal(self, attempt: Attempt) -> NotRun | None:
+        """Refuse requests that crash servers, and all requests just after a crash."""
         if self.clock() - self._crashed_at < SAME_CRASH_SECONDS:
-            # A server that is starting again breaks what comes too soon, and each of
-            # those requests would pass for the cause of another crash.
-            return NotRun(Failure("ServerDown", "it crashed just now"), 1.0)
+            # A server that is restarting fails the requests that arrive too early,
+            # and each of them would be recorded as the cause of another crash.
+            return NotRun(Failure("ServerDown", "the server has just crashed"), 1.0)
         if self.quarantine.crashes and self.quarantine.refused(
             _fingerprint(attempt.req), self.wall()
         ):
-            return NotRun(Failure("Quarantined", "it crashes the servers that run it"))
+            return NotRun(
+                Failure("Quarantined", "the request crashes the servers that run it")
+            )
         return None
 
-    def _alone(self, req: pb.RunRequest) -> bool:
+    def _must_run_alone(self, req: pb.RunRequest) -> bool:
         if req.alone or not self.quarantine.crashes:
             return req.alone
         return self.quarantine.alone(_fingerprint(req), self.wall())
@@ -166,16 +178,17 @@
         )
 
     async def _run_in_slot(self, attempt: Attempt) -> Outcome:
-        async with self.solo.running(self._alone(attempt.req)):
-            # Another copy of a suspect may have crashed the server while this waited.
-            if refusal := self._barred(attempt):
+        async with self.exclusive_run.hold(self._must_run_alone(attempt.req)):
+            # Another copy of a request suspected of crashing servers may have crashed
+            # this server while the attempt waited.
+            if refusal := self._crash_refusal(attempt):
                 return refusal
             if attempt.req.repeatable:
-                return await self._serve_or_fail(attempt)
-            return await self.once.run(attempt, self._serve_or_fail)
+                return await self._serve(attempt)
+            return await self.once.run(attempt, self._serve)
 
-    async def _serve_or_fail(self, attempt: Attempt) -> Outcome:
-        """Give the server the request; its failure as what it says of the request."""
+    async def _serve(self, attempt: Attempt) -> Outcome:
+        """Pass the request to the server; return its response or failure as outcome."""
         try:
             if self.engine:
                 return await self._serve_engine(attempt)
@@ -183,12 +196,13 @@
         except ServerRefused as exc:
             return NotRun(Failure("ServerRefused", str(exc)), exc.retry_after)
         except ServerDied as exc:
-            crash = self._note_crash(attempt, exc)
+            crash = self._record_crash(attempt, exc)
             return Unknown(Failure("ServerDied", str(exc)), crash=crash)
         except (ServerSilent, ServerFailed) as exc:
             return Unknown(Failure(type(exc).__name__, str(exc)))
 
-    def _note_crash(self, attempt: Attempt, exc: ServerDied) -> str:
+    def _record_crash(self, attempt: Attempt, exc: ServerDied) -> str:
+        """Record that the request was running at a crash; return the crash's id."""
         now = self.clock()
         if now - self._crashed_at > SAME_CRASH_SECONDS:
             self.crashes += 1
@@ -202,37 +216,38 @@
 
     async def _serve_plain(self, attempt: Attempt) -> Outcome:
         req = attempt.req
-        if not attempt.begin():
+        if not attempt.try_start():
             return _CANCELLED
-        attempt.add(started=pb.Started())
+        attempt.add_event(started=pb.Started())
         timeout = attempt.deadline - self.clock()
         data = await self.plain.call(
             req.attempt, req.route, req.idempotency_key, req.body, timeout
         )
-        attempt.add(piece=pb.Piece(data=data))
+        attempt.add_event(piece=pb.Piece(data=data))
         return Answered()
 
     async def _serve_engine(self, attempt: Attempt) -> Outcome:
-        serving = self.in_force
+        serving = self.serving
         if attempt.req.only_manifest not in ("", serving.manifest):
             return NotRun(Failure("OtherManifest", serving.manifest), 1.0)
-        if not attempt.begin():
+        if not attempt.try_start():
             return _CANCELLED
-        attempt.add(started=_started(serving))
+        attempt.add_event(started=_started_event(serving))
         async for line in self.engine.generate(self._generation(attempt)):
             if line.get("done"):
                 break
             if line["version"] != serving.version:
-                # The engine swapped without our order: whatever it says now would
-                # mix two versions' weights in one answer. With our order, the gate is
-                # closed and opened by what the engine is read back to serve.
-                if line["version"] != self.in_force.version:
+                # The engine swapped while this answer was generated, so the rest
+                # of it would come from the weights of another version. If this agent
+                # did not order the swap, the gate is closed here. If it did, the
+                # order closed the gate, and the next read-back sets it.
+                if line["version"] != self.serving.version:
                     self.gate.open = False
                 return Unknown(Failure("MixedVersion", line["version"]), 1.0)
-            attempt.add(piece=pb.Piece(data=line["text"].encode()))
-            await attempt.room()
+            attempt.add_event(piece=pb.Piece(data=line["text"].encode()))
+            await attempt.wait_for_slow_reader()
         if attempt.cancelled:
-            return Unknown(Failure("Cancelled", "stopped while it ran"))
+            return Unknown(Failure("Cancelled", "cancelled while it ran"))
         return Answered()
 
     def _generation(self, attempt: Attempt) -> Generation:
@@ -248,7 +263,7 @@
         )
 
 
-def _started(serving: Loaded) -> pb.Started:
+def _started_event(serving: Loaded) -> pb.Started:
     return pb.Started(
         ticket=serving.fence,
         model=serving.model,
--- a/packages/wasabideck_agent/wasabideck_agent/runs_service.py
+++ b/packages/wasabideck_agent/wasabideck_agent/runs_service.py
@@ -1,4 +1,4 @@
-"""The inner protocol's face of a runner."""
+"""The ``Runs`` service of the inner protocol, backed by a runner."""
 
 from __future__ import annotations
 
@@ -16,74 +16,82 @@
 
 __all__ = ["RunsService"]
 
-BEAT_SECONDS = 0.5
+HEARTBEAT_INTERVAL_SECONDS = 0.5
 
 
 @define
 class RunsService(RunsBase):
-    """Streams attempts' events, from any offset, on any connection."""
+    """Streams the events of attempts, from any offset, on any connection."""
 
     runner: Runner
-    beat: float = BEAT_SECONDS
+    heartbeat_seconds: float = HEARTBEAT_INTERVAL_SECONDS
 
     async def Run(self, stream: Stream[pb.RunRequest, pb.RunEvent]) -> None:
-        """Run one attempt, or go on with it if it is known."""
+        """Start an attempt, or resume it if it is known, and stream its events."""
         req = await stream.recv_message()
-        await self._send(stream.send_message, self.runner.start(req), 0)
+        await self._stream_events(stream.send_message, self.runner.start(req), 0)
 
     async def Resume(self, stream: Stream[pb.ResumeRequest, pb.RunEvent]) -> None:
-        """Go on with an attempt's events from an offset."""
+        """Stream an attempt's events from an offset."""
         req = await stream.recv_message()
         attempt = self.runner.attempts.get(req.attempt)
         if attempt is None:
-            final = final_from(self._never(req))
+            final = final_from(self._resolve_unknown(req))
             await stream.send_message(pb.RunEvent(offset=req.offset, final=final))
             return
-        await self._send(stream.send_message, attempt, req.offset)
+        await self._stream_events(stream.send_message, attempt, req.offset)
 
     async def Cancel(self, stream: Stream[pb.CancelRequest, pb.CancelReply]) -> None:
-        """Give an attempt up."""
+        """Cancel an attempt."""
         req = await stream.recv_message()
         not_run = await self.runner.cancel(req)
         await stream.send_message(pb.CancelReply(not_run=not_run))
 
-    def _never(self, req: pb.ResumeRequest) -> Outcome:
-        """Outcome of an attempt that this process does not know."""
+    def _resolve_unknown(self, req: pb.ResumeRequest) -> Outcome:
+        """Return the outcome of an attempt that this process does not know.
+
+        If the entry that sent the attempt resumes it, the attempt is barred. A query
+        with ``watch`` does not bar it.
+        """
         if not req.watch and self.runner.attempts.arrivals.give_up(
             req.attempt, req.incarnation, req.not_after_ms / 1000, self.runner.clock()
         ):
-            return NotRun(Failure("NeverArrived", "its run request got lost"), 1.0)
-        return Unknown(Failure("Forgotten", "this agent process knows nothing of it"))
+            return NotRun(
+                Failure("NeverArrived", "its run request did not arrive"), 1.0
+            )
+        return Unknown(
+            Failure("Forgotten", "this agent process does not know the attempt")
+        )
 
-    async def _send(
+    async def _stream_events(
         self,
         send: Callable[[pb.RunEvent], Awaitable[None]],
         attempt: Attempt,
         offset: int,
     ) -> None:
-        self.runner.streams += 1
+        self.runner.open_streams += 1
         try:
             with attempt.reading(self.runner.clock):
-                await self._send_all(send, attempt, offset)
+                await self._send_until_final(send, attempt, offset)
         except EventsForgotten as exc:
             final = final_from(Unknown(Failure("EventsForgotten", str(exc))))
             await send(pb.RunEvent(offset=offset, final=final))
         finally:
-            self.runner.streams -= 1
+            self.runner.open_streams -= 1
 
-    async def _send_all(
+    async def _send_until_final(
         self,
         send: Callable[[pb.RunEvent], Awaitable[None]],
         attempt: Attempt,
         offset: int,
     ) -> None:
         while True:
-            if not await attempt.grown(offset, self.beat):
+            if not await attempt.wait_for_event(offset, self.heartbeat_seconds):
                 await send(pb.RunEvent(offset=offset, beat=pb.Beat()))
                 continue
             event = attempt.event(offset)
             await send(event)
-            attempt.sent(offset)
+            attempt.mark_sent(offset)
             offset += 1
             if event.HasField("final"):
                 return
--- a/packages/wasabideck_agent/wasabideck_agent/serving.py
+++ b/packages/wasabideck_agent/wasabideck_agent/serving.py
@@ -1,4 +1,4 @@
-"""Runs an agent from its start to its graceful stop."""
+"""Runs an agent from its start to its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -24,26 +24,27 @@
 from wasabideck_policy.membership import AGENT
 
 from .agent import Agent
-from .assembly import assemble_agent, loops_of, services_of
+from .assembly import assemble_agent, background_loops, inner_services
 from .links import give_way_to_live
 
 __all__ = ["serve_agent"]
 
-DRAIN_SECONDS = 60.0
-DRAIN_PAUSE = 0.02
-# Who watches is told at once; this is for those whose stream is being replaced.
-LEAVING_SECONDS = 1.0
-QUIET_SECONDS = 0.3
+MAX_DRAIN_SECONDS = 60.0
+DRAIN_POLL_INTERVAL_SECONDS = 0.02
+# Entries with an open status stream are notified at once. The minimum is for entries
+# that are just replacing their stream.
+MIN_DRAIN_SECONDS = 1.0
+MIN_IDLE_SECONDS = 0.3
 
 
 async def serve_agent(cfg: AgentSettings, stop: asyncio.Event) -> None:
-    """Serve until ``stop`` is set, then finish what is in progress."""
+    """Serve until ``stop`` is set, then finish the requests in progress."""
     events, file = open_events(cfg.process.vm, cfg.process.events)
     keys = Keys(cfg.tls) if cfg.tls else None
     async with aiohttp.ClientSession() as session:
         agent = assemble_agent(cfg, events, session, keys)
         events.listeners.append(agent.metrics.count)
-        server = InnerServer(services_of(agent))
+        server = InnerServer(inner_services(agent))
         observe_clock(server, events.clock)
         give_way_to_live(server, agent.links)
         host, port = split_address(cfg.process.inner)
@@ -54,7 +55,7 @@
         events.emit("process.ready", kind=AGENT)
         agent.runner.once.holder.address = f"{inner[0]}:{inner[1]}"
         announce_ready(vm=agent.vm, inner=f"{inner[0]}:{inner[1]}", http=http)
-        loops = [*loops_of(agent), *reread_keys(keys, events)]
+        loops = [*background_loops(agent), *reread_keys(keys, events)]
         tasks = [asyncio.create_task(loop) for loop in loops]
         await first_of(stop, tasks)
         await _drain(agent)
@@ -65,32 +66,32 @@
 
 
 async def _drain(agent: Agent) -> None:
-    """Refuse new work, and finish what is in progress.
+    """Refuse new requests and finish those in progress.
 
-    Whoever watches is told at once. The socket listens on until every entry has
-    heard that this server leaves, by its word or by a refusal: a request that met a
-    closing connection would be neither run nor certainly not run.
+    Entries with an open status stream are notified at once. The socket keeps listening
+    until every entry has learned of the shutdown, from a notification or from a
+    refusal: the outcome of a request on a closing connection would be unknown.
     """
     agent.runner.gate.leaving = True
-    agent.teller.tell()
+    agent.peers_service.tell()
     agent.events.emit("process.leaving", kind=AGENT)
-    limit = time.monotonic() + DRAIN_SECONDS
-    await asyncio.sleep(LEAVING_SECONDS)
-    while not agent.runner.idle(QUIET_SECONDS) and time.monotonic() < limit:
-        await asyncio.sleep(DRAIN_PAUSE)
+    limit = time.monotonic() + MAX_DRAIN_SECONDS
+    await asyncio.sleep(MIN_DRAIN_SECONDS)
+    while not agent.runner.idle(MIN_IDLE_SECONDS) and time.monotonic() < limit:
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
     if agent.orders:
-        # The next agent beside this engine could not know of an order in flight.
-        await agent.orders.finish()
-    await agent.rows.write()
+        # The next agent of this engine would not know of an order in flight.
+        await agent.orders.wait_until_idle()
+    await agent.delivery_rows.write()
 
 
 async def _serve_http(agent: Agent, file: EventFile, keys: Keys | None) -> str:
-    """Serve /metrics and /ready; the bound address."""
+    """Serve /metrics and /ready; return the bound address."""
 
     async def metrics(req: web.Request) -> web.Response:
         agent.metrics.in_progress.set({}, len(agent.runner.attempts.in_progress()))
         agent.metrics.events_lost.set({}, file.lost)
-        agent.count_links()
+        agent.update_link_metrics()
         body, headers = render_metrics(agent.metrics, req.headers.get("accept", ""))
         return web.Response(body=body, headers=headers)
 
--- a/packages/wasabideck_agent/wasabideck_agent/slots.py
+++ b/packages/wasabideck_agent/wasabideck_agent/slots.py
@@ -15,105 +15,111 @@
 
 __all__ = ["Slot", "Slots"]
 
-# The gate is opened elsewhere; it is looked at this often while requests wait.
-LOOK_SECONDS = 0.25
+# Other code opens the gate, so it is polled at this interval while requests wait.
+GATE_POLL_INTERVAL_SECONDS = 0.25
 
 
 @define
 class Slots:
-    """Gives the slots to the requests that wait, in the order of the gate.
+    """Assigns slots to waiting requests, in the order that the gate decides.
 
     Attributes
     ----------
     limit : AdaptiveLimit or None
-        What the capacity follows where the server reports no load.
+        Determines the capacity of a server that reports no load.
     """
 
     gate: Gate
     clock: Callable[[], float]
     limit: AdaptiveLimit | None = None
-    _woken: dict[Waiting, asyncio.Future] = field(factory=dict)
-    _looking: asyncio.Task | None = None
+    _grants: dict[Waiting, asyncio.Future] = field(factory=dict)
+    _poll_task: asyncio.Task | None = None
 
     def refusal(self, attempt: Attempt) -> NotRun | None:
-        """Final refusal of an attempt that just came; None when it may wait."""
+        """Return the refusal of a new attempt, or None if it may wait for a slot."""
         now = self.clock()
         return admit(self.gate, _waiting(attempt, now), now)
 
-    async def take(self, attempt: Attempt) -> NotRun | None:
-        """Wait for a slot; the refusal, or None when it was taken."""
+    async def acquire(self, attempt: Attempt) -> NotRun | None:
+        """Wait for a slot; return a refusal, or None when the slot is acquired."""
         waiting = _waiting(attempt, self.clock())
-        woken = asyncio.get_running_loop().create_future()
+        grant = asyncio.get_running_loop().create_future()
         self.gate.queue.add(waiting)
-        self._woken[waiting] = woken
-        self.give()
-        if self.gate.queue and (self._looking is None or self._looking.done()):
-            self._looking = asyncio.create_task(self._look())
+        self._grants[waiting] = grant
+        self.assign()
+        if self.gate.queue and (self._poll_task is None or self._poll_task.done()):
+            self._poll_task = asyncio.create_task(self._poll_gate())
         try:
-            return await asyncio.shield(woken)
+            return await asyncio.shield(grant)
         except asyncio.CancelledError:
-            self._forget(waiting, woken)
+            self._withdraw(waiting, grant)
             raise
 
     def release(self, seconds: float | None) -> None:
-        """Give a slot back, and pass it on."""
+        """Release a slot and assign it to the next request.
+
+        ``seconds`` is the time that the server took, or None if nothing ran.
+        """
         if self.limit and seconds is not None:
             self.limit.observe(seconds, self.gate.running)
             self.gate.capacity = self.limit.slots
         self.gate.end(seconds)
-        self.give()
+        self.assign()
 
-    def give(self) -> None:
-        """Refuse who can no longer end in time; give free slots to the next."""
+    def assign(self) -> None:
+        """Refuse requests that cannot end before their deadline; assign free slots."""
         now = self.clock()
         for waiting in self.gate.queue.late(now, self.gate.service_time):
             if self.gate.running or waiting.deadline <= now:
                 self.gate.queue.remove(waiting)
-                self._wake(waiting, late_refusal(self.gate, waiting, now))
+                self._resolve(waiting, late_refusal(self.gate, waiting, now))
         while first := self.gate.next(now):
-            self._wake(first, None)
+            self._resolve(first, None)
         self.gate.waiting = len(self.gate.queue)
 
-    async def _look(self) -> None:
-        """Look after those who wait: nothing else may happen until they are late."""
+    async def _poll_gate(self) -> None:
+        """Assign slots periodically while requests wait.
+
+        There may be no other trigger before the requests miss their deadlines.
+        """
         while self.gate.queue:
-            await asyncio.sleep(LOOK_SECONDS)
-            self.give()
+            await asyncio.sleep(GATE_POLL_INTERVAL_SECONDS)
+            self.assign()
 
-    def _wake(self, waiting: Waiting, refusal: NotRun | None) -> None:
-        self._woken.pop(waiting).set_result(refusal)
+    def _resolve(self, waiting: Waiting, refusal: NotRun | None) -> None:
+        self._grants.pop(waiting).set_result(refusal)
 
-    def _forget(self, waiting: Waiting, woken: asyncio.Future) -> None:
-        """Undo a wait that was cancelled, also one that had got its slot."""
-        if not woken.done():
-            del self._woken[waiting]
+    def _withdraw(self, waiting: Waiting, grant: asyncio.Future) -> None:
+        """Undo a cancelled wait; release its slot if it was already assigned."""
+        if not grant.done():
+            del self._grants[waiting]
             self.gate.queue.remove(waiting)
             self.gate.waiting = len(self.gate.queue)
-        elif woken.result() is None:
+        elif grant.result() is None:
             self.release(None)
 
 
 @define
 class Slot:
-    """One attempt's slot: taken on entering, given back on leaving."""
+    """Context manager that holds one attempt's slot."""
 
     slots: Slots
     attempt: Attempt
-    began: float | None = None
+    acquired_at: float | None = None
 
     async def __aenter__(self) -> NotRun | None:
-        """Wait for the slot; the refusal, or None when it was taken."""
-        refusal = await self.slots.take(self.attempt)
+        """Wait for the slot; return a refusal, or None when the slot is acquired."""
+        refusal = await self.slots.acquire(self.attempt)
         if refusal is None:
-            self.began = self.slots.clock()
+            self.acquired_at = self.slots.clock()
         return refusal
 
     async def __aexit__(self, kind: type | None, *exc: object) -> None:
-        """Give the slot back."""
-        if self.began is None:
+        """Release the slot if it was acquired."""
+        if self.acquired_at is None:
             return
         ran = self.attempt.started and kind is None
-        self.slots.release(self.slots.clock() - self.began if ran else None)
+        self.slots.release(self.slots.clock() - self.acquired_at if ran else None)
 
 
 def _waiting(attempt: Attempt, now: float) -> Waiting:
--- a/packages/wasabideck_agent/wasabideck_agent/solo.py
+++ b/packages/wasabideck_agent/wasabideck_agent/solo.py
@@ -1,4 +1,4 @@
-"""Runs suspects of crashing the server beside nothing else."""
+"""Runs requests suspected of crashing servers while no other request runs."""
 
 from __future__ import annotations
 
@@ -13,42 +13,44 @@
 
 @define
 class Solo:
-    """Requests share the server, but for a suspect, which has it alone.
+    """A lock that most requests share and a suspected request holds exclusively.
 
-    A suspect that waits goes before others that wait, or a busy server would never
-    be free for it.
+    A suspected request that waits goes ahead of other waiting requests. Otherwise a
+    busy server would never become free for it.
     """
 
     _shared: int = 0
-    _alone: int = 0
-    _waiting: int = 0
+    _exclusive: int = 0
+    _exclusive_waiting: int = 0
     _changed: asyncio.Condition = field(factory=asyncio.Condition)
 
     @asynccontextmanager
-    async def running(self, alone: bool) -> AsyncIterator[None]:
-        """Wait for the server, alone or shared, and hold it."""
-        await (self._enter_alone() if alone else self._enter_shared())
+    async def hold(self, exclusive: bool) -> AsyncIterator[None]:
+        """Acquire the server, exclusively or shared, and hold it."""
+        await (self._acquire_exclusive() if exclusive else self._acquire_shared())
         try:
             yield
         finally:
-            self._alone -= alone
-            self._shared -= not alone
+            self._exclusive -= exclusive
+            self._shared -= not exclusive
             async with self._changed:
                 self._changed.notify_all()
 
-    async def _enter_alone(self) -> None:
-        self._waiting += 1
+    async def _acquire_exclusive(self) -> None:
+        self._exclusive_waiting += 1
         try:
             async with self._changed:
-                await self._changed.wait_for(lambda: not self._shared + self._alone)
-                self._alone += 1
+                await self._changed.wait_for(lambda: not self._shared + self._exclusive)
+                self._exclusive += 1
         finally:
-            self._waiting -= 1
+            self._exclusive_waiting -= 1
 
-    async def _enter_shared(self) -> None:
-        if not self._alone + self._waiting:
+    async def _acquire_shared(self) -> None:
+        if not self._exclusive + self._exclusive_waiting:
             self._shared += 1
             return
         async with self._changed:
-            await self._changed.wait_for(lambda: not self._alone + self._waiting)
+            await self._changed.wait_for(
+                lambda: not self._exclusive + self._exclusive_waiting
+            )
             self._shared += 1
--- a/packages/wasabideck_agent/wasabideck_agent/swap_turns.py
+++ b/packages/wasabideck_agent/wasabideck_agent/swap_turns.py
@@ -1,4 +1,4 @@
-"""Waits for this server's turn to stop for a swap."""
+"""Waits for this server's turn to stop serving for a swap."""
 
 from __future__ import annotations
 
@@ -14,73 +14,80 @@
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.inner_grpc import PeersStub
 
-__all__ = ["SwapTurns", "ask_status"]
+__all__ = ["SwapScheduler", "make_status_query"]
 
-LOOK_SECONDS = 0.05
-STATUS_TIMEOUT = 0.5
-MOST_ASKED = 12
-SILENT_SECONDS = 10.0
+POLL_INTERVAL_SECONDS = 0.05
+STATUS_TIMEOUT_SECONDS = 0.5
+MAX_QUERIED_PEERS = 12
+UNRESPONSIVE_EXCLUSION_SECONDS = 10.0
 
 
 @define
-class SwapTurns:
-    """Asks some of the service's other servers whether they serve.
+class SwapScheduler:
+    """Decides when to swap by querying some of the service's other servers.
 
     Attributes
     ----------
     peers : callable
-        The service's other agents.
-    ask : callable
-        Whether a peer serves; None when it does not answer.
+        Returns the service's other agents.
+    query : callable
+        Returns whether a peer serves, or None when it does not respond.
     """
 
     vm: str
     peers: Callable[[], list[Member]]
-    ask: Callable[[Member], Awaitable[bool | None]]
+    query: Callable[[Member], Awaitable[bool | None]]
     rng: random.Random
     clock: Callable[[], float] = time.monotonic
     wall: Callable[[], float] = time.time
-    pause: Callable[[float], Awaitable[None]] = asyncio.sleep
-    _silent_at: dict[str, float] = field(factory=dict)
+    sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
+    _unresponsive_at: dict[str, float] = field(factory=dict)
 
     async def wait(self, ticket: int, swap_seconds: float) -> None:
-        """Return when this server may swap, or has waited long enough."""
+        """Return when this server may swap, or when the maximum wait is over."""
         limit = self.clock() + patience(swap_seconds)
         while self.clock() < limit:
-            peers = [peer for peer in self.peers() if self._counts(peer)]
+            peers = [peer for peer in self.peers() if self._is_counted(peer)]
             vms = {self.vm, *(peer.vm for peer in peers)}
             if own_turn(self.vm, ticket, vms, self.wall()):
-                asked = self.rng.sample(peers, min(MOST_ASKED, len(peers)))
-                if await self._may_swap(asked):
+                queried = self.rng.sample(peers, min(MAX_QUERIED_PEERS, len(peers)))
+                if await self._may_swap(queried):
                     return
-            await self.pause(LOOK_SECONDS)
-
-    async def _may_swap(self, asked: list[Member]) -> bool:
-        answers = await asyncio.gather(*(self.ask(peer) for peer in asked))
-        silent = [p.vm for p, a in zip(asked, answers, strict=True) if a is None]
-        # A server that is frozen or gone does not come back by being waited for, so
-        # it is left out from now on. What the others said has grown old meanwhile,
-        # and they are asked again.
-        self._silent_at |= dict.fromkeys(silent, self.clock())
-        return not silent and may_swap(len(asked), sum(answers))
-
-    def _counts(self, peer: Member) -> bool:
-        silent_at = self._silent_at.get(peer.vm, float("-inf"))
-        return not peer.leaving and self.clock() - silent_at > SILENT_SECONDS
-
-
-def ask_status(
+            await self.sleep(POLL_INTERVAL_SECONDS)
+
+    async def _may_swap(self, queried: list[Member]) -> bool:
+        replies = await asyncio.gather(*(self.query(peer) for peer in queried))
+        unresponsive = [
+            p.vm for p, r in zip(queried, replies, strict=True) if r is None
+        ]
+        # Waiting does not bring a frozen or terminated server back, so it is not
+        # counted for a while. The replies of the other peers are outdated once the
+        # timeout has passed, so these peers are queried again.
+        self._unresponsive_at |= dict.fromkeys(unresponsive, self.clock())
+        return not unresponsive and may_swap(len(queried), sum(replies))
+
+    def _is_counted(self, peer: Member) -> bool:
+        unresponsive_at = self._unresponsive_at.get(peer.vm, float("-inf"))
+        return (
+            not peer.leaving
+            and self.clock() - unresponsive_at > UNRESPONSIVE_EXCLUSION_SECONDS
+        )
+
+
+def make_status_query(
     vm: str, channels: Channels
 ) -> Callable[[Member], Awaitable[bool | None]]:
-    """A question to a peer whether it serves; its answer is None when none came."""
+    """Return a function that queries whether a peer serves, None without a reply."""
 
-    async def ask(peer: Member) -> bool | None:
+    async def query(peer: Member) -> bool | None:
         stub = PeersStub(channels.get(peer.address))
         try:
-            reply = await stub.Status(pb.StatusRequest(vm=vm), timeout=STATUS_TIMEOUT)
+            reply = await stub.Status(
+                pb.StatusRequest(vm=vm), timeout=STATUS_TIMEOUT_SECONDS
+            )
         except LINK_FAILURES:
             channels.drop(peer.address)
             return None
         return reply.serving and not reply.leaving
 
-    return ask
+    return query
--- a/tests/answers_fakes.py
+++ b/tests/answers_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the agent and the entry, for tests of answers."""
+"""Fakes of the interfaces of the agent and the entry, for tests of answers."""
 
 import asyncio
 import copy
@@ -29,7 +29,7 @@
 
 @define
 class Now:
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     at: float = 100.0
 
@@ -56,10 +56,10 @@
 
 @define
 class FakeTable:
-    """A table whose next answers are drawn from ``plan``.
+    """A table whose next responses are listed in ``plan``.
 
     Each transaction takes one word: ``ok``, ``down`` (503, not applied), ``lost``
-    (applied, no answer), ``late`` (no answer, applied by ``apply_late``).
+    (applied, no response), ``late`` (no response, applied by ``apply_late``).
     """
 
     rows: dict = field(factory=dict)
@@ -93,7 +93,7 @@
         return failed
 
     def apply_late(self):
-        """Carry out the writes that hang in the air."""
+        """Apply the writes that got the word ``late``."""
         late, self.late = self.late, []
         for checks, writes in late:
             self._apply(checks, writes)
@@ -113,7 +113,7 @@
 
 @define
 class FakePlain:
-    """A plain service that counts runs by key; a test decides how calls end."""
+    """A plain service that counts runs by key; ``ends`` lists how calls end."""
 
     runs: dict = field(factory=dict)
     ends: list = field(factory=list)
@@ -132,7 +132,7 @@
 
 @define
 class FakeEngine:
-    """An engine that answers with four words; a test decides where it breaks."""
+    """An engine that generates four words; it dies at the word ``dies_at``."""
 
     version: str = "v1"
     words: int = 4
@@ -175,15 +175,15 @@
 
     def __attrs_post_init__(self):
         self.channels = Channels(Clock())
-        claims = ClaimStore(self.table, self.events, pause=0.0)
+        claims = ClaimStore(self.table, self.events, retry_seconds=0.0)
         once = Once(
             Holder(self.vm, "", self.incarnation),
             claims,
             self.channels,
             self.events,
             self.now,
-            patience=0.01,
-            silence=0.2,
+            reader_timeout=0.01,
+            holder_timeout=0.2,
         )
         self.runner = Runner(
             self.vm,
@@ -193,7 +193,7 @@
             self.plain,
             once,
             Attempts(Arrivals(self.incarnation)),
-            in_force=Loaded(1, "drafter", "v1", "m1"),
+            serving=Loaded(1, "drafter", "v1", "m1"),
             clock=self.now,
             wall=self.events.wall,
         )
@@ -203,7 +203,7 @@
         return self.runner.once.holder.address
 
     async def serve(self):
-        self.server = Server([RunsService(self.runner, beat=0.02)])
+        self.server = Server([RunsService(self.runner, heartbeat_seconds=0.02)])
         await self.server.start("127.0.0.1", 0)
         host, port = self.server._server.sockets[0].getsockname()
         self.runner.once.holder.address = f"{host}:{port}"
@@ -215,19 +215,19 @@
             self.server.close()
 
     async def run(self, req):
-        """The final event of a request, with somebody who reads it."""
+        """Run a request while its events are read; return its final event."""
         attempt = self.runner.start(req)
         with attempt.reading(self.now):
             return await self.final(attempt)
 
     async def final(self, attempt):
         while attempt.final is None:
-            await attempt._change(5.0)
+            await attempt._wait_for_change(5.0)
         return attempt.final
 
 
 def order(attempt="a1", key="k1", body=b"20 banners", **kw):
-    """A run request for a call that may not be repeated."""
+    """Return a run request for a call that may not be repeated."""
     kw = {"incarnation": "inc-1", "organisation": "org-1", "digest": body.hex()} | kw
     return pb.RunRequest(
         attempt=attempt,
@@ -246,7 +246,7 @@
 
 
 def draft(attempt="d1", body=b"a brief", **kw):
-    """A run request for a repeatable, streamed call."""
+    """Return a run request for a repeatable, streamed call."""
     fields = {"incarnation": "inc-1", "not_after_ms": 110_000} | kw
     return pb.RunRequest(
         attempt=attempt,
@@ -267,7 +267,7 @@
 
 
 class Gated(FakeEngine):
-    """An engine that waits before each word until a test lets it go on."""
+    """An engine that waits after each line until a test releases ``turn``."""
 
     def __init__(self):
         super().__init__()
@@ -307,7 +307,7 @@
 
 
 class FakeFleet:
-    """Servers of one service."""
+    """The servers of one service."""
 
     region = "region-1"
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Every caller gets the whole answer to its own request, once."""
+"""Every caller gets the complete answer to its own request, once."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
     stream_to,
 )
 from wasabideck_agent import attempts
-from wasabideck_agent.attempts import UNSENT_BYTES
+from wasabideck_agent.attempts import MAX_UNSENT_BYTES
 from wasabideck_entry.calls import Part
 from wasabideck_lab.relay import Relay
 from wasabideck_policy.outcomes import Answered, Unknown
@@ -23,11 +23,11 @@
 
 
 @pytest.mark.parametrize("fault", ["silence", "cut"])
-def test_a_stream_goes_on_where_its_connection_was_lost(fault):
-    """Two words have come; then the connection goes silent for good, or breaks.
+def test_a_stream_resumes_where_its_connection_was_lost(fault):
+    """The connection stops transmitting, or breaks, after two words.
 
-    The answer goes on, on a new connection, at the third word: nothing is lost and
-    nothing comes twice. TCP itself notices nothing of the silence for many minutes.
+    The stream resumes on a new connection at the third word: no event is lost or sent
+    twice. TCP itself detects a connection without data only after many minutes.
     """
 
     async def body():
@@ -52,11 +52,11 @@
     asyncio.run(body())
 
 
-def test_an_agent_that_started_again_does_not_deny_what_the_former_did():
-    """The agent dies with a request on it, and another stands at its address.
+def test_a_restarted_agent_does_not_report_an_earlier_attempt_as_not_run():
+    """The agent dies with a request in progress, and another has its address now.
 
-    The new one knows nothing of the attempt. It used to answer "never arrived, not
-    run", and a caller would have been told that its order did not run.
+    The new agent doesn't know the attempt. It used to respond "never arrived, not
+    run", and the caller was wrongly told that its order did not run.
     """
 
     async def body():
@@ -77,9 +77,9 @@
 
 
 def test_a_dead_agent_ends_the_wait_at_once():
-    """The agent is killed with a request on it; nothing listens there any more.
+    """The agent is killed with a request in progress, and nothing listens any more.
 
-    The caller hears at once that nobody knows, rather than at its deadline.
+    The caller gets "outcome unknown" at once and not only at its deadline.
     """
 
     async def body():
@@ -95,7 +95,7 @@
     asyncio.run(body())
 
 
-def test_a_run_request_that_comes_after_its_cancel_does_not_run():
+def test_a_run_request_that_arrives_after_its_cancel_does_not_run():
     async def body():
         one = engine_agent()
         req = pb.CancelRequest(attempt="d1", incarnation="inc-1", not_after_ms=110_000)
@@ -107,11 +107,11 @@
     asyncio.run(body())
 
 
-def test_a_draft_goes_on_at_another_server_of_the_same_weights():
-    """A server dies after two of four words went out to the caller.
+def test_a_draft_continues_at_another_server_with_the_same_weights():
+    """A server dies after two of four words were sent to the caller.
 
-    Another that serves the same manifest goes on from there: the caller gets one
-    whole answer of one version, and sees nothing of it.
+    Another server of the same manifest continues from there: the caller gets one
+    complete answer of one version and does not notice the failover.
     """
 
     async def body():
@@ -129,16 +129,16 @@
 
 @pytest.mark.parametrize("known", [True, False])
 def test_a_draft_is_never_made_of_two_versions(known):
-    """The only other server has other weights; the entry may not know of it yet.
+    """The only other server has other weights; the entry may not know that yet.
 
-    Half an answer of one version and half of another would be worse than none: the
-    caller hears an honest "unknown" after the words that it has.
+    An answer made from two versions would be worse than none: the caller gets
+    "outcome unknown" after the words that it has received.
     """
 
     async def body():
         dying = await engine_agent("draft-1", engine_kw={"dies_at": 2}).serve()
         other = await engine_agent("draft-2").serve()
-        other.runner.in_force = other.runner.in_force.__class__(2, "d", "v2", "m2")
+        other.runner.serving = other.runner.serving.__class__(2, "d", "v2", "m2")
         seen = "m2" if known else "m1"
         caller = caller_of(server_of(dying), server_of(other, manifest=seen))
         text, outcome = await answer(caller, call())
@@ -150,10 +150,11 @@
     asyncio.run(body())
 
 
-def test_a_refusal_after_a_try_that_may_have_run_is_no_refusal():
-    """The first server dies with the request; the second refuses it.
+def test_a_refusal_after_an_attempt_that_may_have_run_is_unknown():
+    """The first server dies while it runs the request; the second one refuses it.
 
-    "Not run" would be true of the second try only. The last outcome used to win.
+    "Not run" is true of the second attempt only, but the last outcome used to be
+    reported for the whole request.
     """
 
     async def body():
@@ -169,27 +170,27 @@
     asyncio.run(body())
 
 
-def test_a_slow_reader_pushes_the_engine_back_and_loses_nothing():
-    """A caller reads nothing for a while; its answer is long.
+def test_a_slow_reader_causes_backpressure_and_loses_nothing():
+    """A caller does not read a long answer for a while.
 
-    The engine waits for it instead of filling the agent's memory, and the caller
-    then gets every word.
+    The engine waits instead of filling the agent's memory, and the caller then gets
+    every word.
     """
 
     async def body():
         words = 3000
         one = engine_agent(engine=FakeEngine(words=words, word="x" * 400))
         attempt = one.runner.start(draft())
-        while attempt._unsent_bytes <= UNSENT_BYTES:
+        while attempt._unsent_bytes <= MAX_UNSENT_BYTES:
             await asyncio.sleep(0)
         for _ in range(50):
             await asyncio.sleep(0)
         assert one.engine.produced < words
-        assert attempt._unsent_bytes < UNSENT_BYTES + 1000
+        assert attempt._unsent_bytes < MAX_UNSENT_BYTES + 1000
         offset = 0
         with attempt.reading(one.now):
-            while await attempt.grown(offset, 1.0):
-                attempt.sent(offset)
+            while await attempt.wait_for_event(offset, 1.0):
+                attempt.mark_sent(offset)
                 offset += 1
                 if attempt.final and attempt.event(offset - 1).HasField("final"):
                     break
@@ -198,13 +199,13 @@
     asyncio.run(body())
 
 
-def test_ended_answers_are_kept_within_a_bound(monkeypatch):
-    """Long answers end fast, and each is kept for a minute in case it is asked for.
+def test_events_of_ended_attempts_are_limited(monkeypatch):
+    """Many long answers end fast, and each is kept for a minute for a resume.
 
-    Beyond the bound the oldest go; whoever asks for one hears "unknown", never less
-    than the whole answer called whole.
+    Above the limit the oldest are dropped. A reader that resumes one of them gets
+    "unknown" and never a part of the answer as if it were complete.
     """
-    monkeypatch.setattr(attempts, "ENDED_BYTES", 2000)
+    monkeypatch.setattr(attempts, "MAX_ENDED_BYTES", 2000)
 
     async def body():
         one = engine_agent(engine=FakeEngine(word="x" * 200))
@@ -223,7 +224,7 @@
     asyncio.run(body())
 
 
-def test_a_caller_that_goes_away_cancels_the_engines_work():
+def test_a_caller_that_disconnects_cancels_the_engines_work():
     async def body():
         one = await engine_agent(engine=Gated()).serve()
         caller = caller_of(server_of(one), now=one.now)
@@ -240,8 +241,8 @@
     asyncio.run(body())
 
 
-def test_work_that_nobody_reads_is_stopped():
-    """An entry dies for good with drafts in progress; no cancel ever comes."""
+def test_attempts_without_a_reader_are_stopped():
+    """An entry dies with drafts in progress, so it never sends a cancel."""
 
     async def body():
         one = engine_agent(engine=Gated())
--- a/tests/test_claims_stateful.py
+++ b/tests/test_claims_stateful.py
@@ -1,4 +1,4 @@
-"""A key runs at most once, whatever becomes of the table's answers."""
+"""A key runs at most once, whichever of the table's responses are lost or late."""
 
 import asyncio
 
@@ -19,19 +19,19 @@
 WORDS = st.lists(st.sampled_from(["ok", "lost", "late", "late", "down"]), max_size=5)
 
 
-def steals(wanted, found):
-    """Broken: takes a running claim from its holder, as after an expiry."""
+def takes_running_claims(wanted, found):
+    """Broken: takes a running claim from its holder, as if it had expired."""
     verdict = judge(wanted, found)
     return Verdict("run", found) if verdict.action == "ask-holder" else verdict
 
 
-def reruns(wanted, found):
-    """Broken: runs again what is done."""
+def reruns_done_calls(wanted, found):
+    """Broken: runs a call again that is done."""
     return Verdict("run", found) if found.state == DONE else judge(wanted, found)
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """Attempts with one key, some of whose agents die at any point."""
+    """Attempts with the same key, some of whose agents die at any point."""
 
     judge = staticmethod(judge)
 
@@ -39,7 +39,7 @@
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.table = FakeTable()
-        self.store = ClaimStore(self.table, FakeEvents(), pause=0.0)
+        self.store = ClaimStore(self.table, FakeEvents(), retry_seconds=0.0)
         self.attempts = 0
         self.runs = 0
         self.running = None
@@ -62,26 +62,26 @@
         except PlatformUnavailable as exc:
             self.table.plan = []
             if exc.maybe_applied and not dies:
-                await self._settle(claim)
+                await self._release(claim)
             return
         self.table.plan = []
         if verdict.action != "run" or dies:
             self.stuck = dies
             return
         if refused:
-            await self._settle(claim)
+            await self._release(claim)
             return
         self.runs += 1
         assert self.runs <= 1
-        await self.store.finish(claim, b"receipt")
+        await self.store.store_answer(claim, b"receipt")
 
-    async def _settle(self, claim):
-        self.store.settle(claim)
-        while self.store.unsettled:
+    async def _release(self, claim):
+        self.store.release_in_background(claim)
+        while self.store.pending_releases:
             await asyncio.sleep(0)
         self.table.apply_late()
         row = self.table.rows["5:org-1/k1"]
-        # Nothing runs under it, so the key must be free for the next try.
+        # Nothing runs under the claim, so the key must be free for the next attempt.
         assert (row["attempt"], row["state"]) != (claim.attempt, "running")
 
     @rule()
@@ -89,8 +89,8 @@
         self.table.apply_late()
 
 
-class NeverCounts(FakeTable):
-    """Broken: compares no ``draw``, so a late write fits a row like its own."""
+class IgnoresDraw(FakeTable):
+    """Broken: does not compare ``draw``, so a late write can pass its check."""
 
     def _apply(self, checks, writes):
         for check in checks:
@@ -105,8 +105,8 @@
     report_multiple_bugs=False,
     phases=[Phase.generate],
 )
-# The examples follow the constants of all modules that are imported, and a broken copy
-# that most runs catch within the first hundreds escaped one of them.
+# Hypothesis draws examples from the constants of all imported modules. Most runs catch
+# a broken copy within the first hundreds of examples, but one run did not.
 BROKEN = settings(LIMITS, max_examples=5000)
 
 
@@ -114,22 +114,23 @@
     run_state_machine_as_test(ClaimsMachine, settings=LIMITS)
 
 
-@pytest.mark.parametrize("broken", [steals, reruns])
+@pytest.mark.parametrize("broken", [takes_running_claims, reruns_done_calls])
 def test_the_machine_catches_a_broken_verdict(broken):
     machine = type("Broken", (ClaimsMachine,), {"judge": staticmethod(broken)})
     with pytest.raises(AssertionError):
         run_state_machine_as_test(machine, settings=BROKEN)
 
 
-@pytest.mark.parametrize("kind", [FakeTable, NeverCounts])
-def test_a_late_retake_finds_no_row_that_it_fits(kind):
-    """An insert hangs, is barred, and the insert after it hangs as well; the table
-    goes down. Both are applied once the claim was given back: without the count the
-    second would fit, and the key would hear "unknown" for ever.
+@pytest.mark.parametrize("kind", [FakeTable, IgnoresDraw])
+def test_a_late_retake_fails_its_check(kind):
+    """An insert and the retake after it hang, and the table becomes unavailable.
+
+    Both writes are applied after the claim was released. Without the check of
+    ``draw`` the second would succeed, and the key would stay "unknown" forever.
     """
     machine = ClaimsMachine()
     machine.table = kind()
-    machine.store = ClaimStore(machine.table, FakeEvents(), pause=0.0)
+    machine.store = ClaimStore(machine.table, FakeEvents(), retry_seconds=0.0)
     words = ["late", "ok", "late", "down"]
     if kind is FakeTable:
         machine.attempt(words=words, dies=False, refused=False)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated run at most once, and refusals are true."""
+"""Calls that may not be repeated run at most once, and "not run" is always true."""
 
 import asyncio
 
@@ -29,15 +29,15 @@
 @pytest.mark.parametrize(
     ("end", "outcome", "state"),
     [
-        # The service recorded the order and then answered 500, or its connection
-        # broke. Told as "not run", the caller would order the banners again.
+        # The service recorded the order and then responded 500, or its connection
+        # broke. After a "not run" the caller would order the banners again.
         (ServerFailed("url", "status 500"), UNKNOWN, "running"),
         (ServerDied("url", "reset"), UNKNOWN, "running"),
-        # It certainly did not run: the claim goes back, so that the key is free.
+        # The call certainly did not run: its claim is released, so the key is free.
         (ServerRefused("url", "refused", 1.0), NOT_RUN, "released"),
     ],
 )
-def test_a_failure_says_only_what_is_certain(end, outcome, state):
+def test_a_failure_is_reported_as_not_run_only_if_that_is_certain(end, outcome, state):
     async def body():
         one = agent(plain=FakePlain(ends=[end]))
         final = await one.run(order())
@@ -48,19 +48,19 @@
 
 
 @pytest.mark.parametrize("plan", [["lost"], ["late"], ["late", "lost"], ["late"] * 2])
-def test_a_claim_whose_answer_was_lost_runs_once_or_not_at_all(plan):
-    """The table applies the claim but its answer is lost, or applies it late.
+def test_a_claim_whose_response_was_lost_runs_at_most_once(plan):
+    """The table applies the claim but its response is lost, or applies it late.
 
-    The order must not run twice, a "not run" must be true, and the key must not
-    stay claimed by an attempt that never ran: the caller's next try would hear
-    "unknown" for ever. Cause: the first version gave the lost claim up unresolved.
+    The order must not run twice, a "not run" must be true, and an attempt that never
+    ran must not keep the key: retries would get "unknown" forever. Cause: the first
+    version abandoned the lost claim without resolving it.
     """
 
     async def body():
         one = agent(FakeTable(plan=list(plan)))
         first = await one.run(order("a1"))
         one.table.apply_late()
-        await until(lambda: not one.runner.once.claims.unsettled)
+        await until(lambda: not one.runner.once.claims.pending_releases)
         runs = one.plain.runs.get("k1", 0)
         assert runs == (first.outcome == ANSWERED)
         second = await one.run(order("a2"))
@@ -72,7 +72,7 @@
     asyncio.run(body())
 
 
-def test_a_store_that_is_down_before_the_claim_refuses_truly():
+def test_an_order_is_refused_if_the_store_is_down_before_the_claim():
     async def body():
         one = agent(FakeTable(plan=["down"]))
         final = await one.run(order())
@@ -82,11 +82,11 @@
     asyncio.run(body())
 
 
-def test_a_store_that_is_down_after_the_run_delays_no_answer():
-    """The table goes down while the order runs.
+def test_a_store_that_is_down_after_the_run_does_not_delay_the_answer():
+    """The table becomes unavailable while the order runs.
 
-    The caller gets its receipt at once; the record follows when the table is back,
-    and the key is answered from it. Cause otherwise: a record tried just once.
+    The caller gets its receipt at once. The answer is stored when the table is
+    available again, and retries get it. This fails if storing is tried only once.
     """
 
     async def body():
@@ -100,11 +100,11 @@
     asyncio.run(body())
 
 
-def test_a_cancel_that_meets_the_claim_under_way_frees_the_key():
-    """A caller goes away just while its order is being claimed.
+def test_a_cancel_while_the_claim_is_being_written_frees_the_key():
+    """A caller disconnects while its order is being claimed.
 
-    It is told "not run", and nothing ran; the claim then takes effect all the same.
-    The caller's next try must run, where it used to hear "unknown" for ever.
+    The outcome is "not run", and nothing ran, but the claim still takes effect. The
+    caller's retry must run; it used to get "unknown" forever.
     """
 
     async def body():
@@ -121,7 +121,7 @@
     asyncio.run(body())
 
 
-def test_a_cancel_after_the_start_is_no_refusal():
+def test_a_cancel_after_the_start_is_not_reported_as_not_run():
     async def body():
         one = agent(plain=FakePlain(hold=asyncio.Event()))
         attempt = one.runner.start(order())
@@ -134,11 +134,11 @@
     asyncio.run(body())
 
 
-def test_a_holder_that_wakes_late_gives_its_claim_back():
-    """An agent is paused right after its claim took effect, past the deadline.
+def test_a_holder_that_resumes_after_the_deadline_releases_its_claim():
+    """An agent is paused after its claim took effect, until after the deadline.
 
-    Its caller has long been told that nobody knows, and has ordered elsewhere by
-    telephone. The agent wakes: a late run would print the banner twice.
+    Its caller got "unknown" long before and ordered elsewhere by telephone. When the
+    agent resumes, a late run would print the banner twice.
     """
 
     async def body():
@@ -155,10 +155,10 @@
 
 
 def test_an_order_whose_entry_died_does_not_start():
-    """The entry dies while an order waits; its caller tries at another entry.
+    """The entry dies while an order waits; its caller retries at another entry.
 
-    The second try is refused for want of room and told "not run". If the first
-    started after that, the refusal would be false: nobody reads it any more.
+    The retry is refused because all slots are taken, and gets "not run". If the first
+    attempt, which nobody reads any more, started after that, this would be false.
     """
 
     async def body():
@@ -169,11 +169,11 @@
     asyncio.run(body())
 
 
-def test_the_same_key_at_two_agents_is_run_by_one_and_answered_by_both():
+def test_a_key_at_two_agents_runs_at_one_and_is_answered_by_both():
     """A caller sends its order through two entries at once, to two servers.
 
-    One runs it; the other hears from the holder, over the inner protocol, and gives
-    the same receipt instead of "unknown" or a second banner.
+    One agent runs it. The other gets the receipt from the holder over the inner
+    protocol and returns it, instead of "unknown" or a second banner.
     """
 
     async def body():
@@ -184,7 +184,7 @@
         first = asyncio.create_task(one.run(order("a1")))
         await plain.entered.wait()
         second = asyncio.create_task(two.run(order("a2", incarnation="inc-2")))
-        await until(lambda: one.runner.streams)
+        await until(lambda: one.runner.open_streams)
         plain.hold.set()
         assert (await first).outcome == ANSWERED
         assert (await second).replayed
@@ -196,11 +196,11 @@
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-def test_a_holder_that_is_gone_leaves_an_honest_unknown(restarted):
-    """The agent that holds the claim dies; another may stand at its address.
+def test_the_outcome_is_unknown_when_the_holder_has_died(restarted):
+    """The agent that holds the claim dies; another may have its address now.
 
-    Nobody knows whether the order ran. The new agent knows nothing of the attempt,
-    and its ignorance must not pass for "not run".
+    It is unknown whether the order ran. That the new agent does not know the attempt
+    must not be taken for "not run".
     """
 
     async def body():
@@ -222,17 +222,17 @@
     asyncio.run(body())
 
 
-def test_asking_for_an_unknown_attempt_does_not_call_it_not_run():
-    """A holder is asked for an attempt that it has forgotten, soon after its start.
+def test_a_query_for_an_unknown_attempt_does_not_report_it_as_not_run():
+    """A holder is queried for an attempt that it does not know, soon after its start.
 
-    An entry's question about its own attempt may bury it; another agent's may not.
+    A query by the attempt's own entry may bar it; one by another agent may not.
     """
 
     async def body():
         one = agent()
         one.now.at = 1.0
         req = pb.ResumeRequest(attempt="a1", incarnation="inc-1", watch=True)
-        assert RunsService(one.runner)._never(req).failure.kind == "Forgotten"
+        assert RunsService(one.runner)._resolve_unknown(req).failure.kind == "Forgotten"
         assert (await one.run(order())).outcome == ANSWERED
 
     asyncio.run(body())
@@ -250,7 +250,7 @@
     asyncio.run(body())
 
 
-def test_organisations_cannot_meet_in_one_claim():
+def test_organisations_never_share_a_claim():
     """Key ``b/c`` of organisation ``a`` and key ``c`` of ``a/b`` once shared a row."""
     assert claim_key("a", "b/c") != claim_key("a/b", "c")
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""The agent's slots, with a clock that the test moves."""
+"""The agent's slots, with a clock that the test advances."""
 
 import asyncio
 
@@ -24,38 +24,38 @@
     return Attempt(pb.RunRequest(attempt=name, priority=priority), deadline)
 
 
-async def turns():
-    """Let every task run that can."""
+async def run_ready_tasks():
+    """Let every task run that is ready."""
     for _ in range(10):
         await asyncio.sleep(0)
 
 
-def test_a_slot_given_to_an_attempt_that_was_cancelled_is_passed_on(slots):
-    # The caller of the second gives up in the very moment in which the first ends.
-    # Its slot would be lost, and the server idle for good.
+def test_a_slot_assigned_to_a_cancelled_attempt_is_reassigned(slots):
+    # The second attempt is cancelled at the moment at which the first ends. The slot
+    # must not be lost, or the server would stay idle forever.
     async def session():
         async with Slot(slots, attempt("first")):
-            second = asyncio.create_task(slots.take(attempt("second")))
-            third = asyncio.create_task(slots.take(attempt("third")))
-            await turns()
+            second = asyncio.create_task(slots.acquire(attempt("second")))
+            third = asyncio.create_task(slots.acquire(attempt("third")))
+            await run_ready_tasks()
         second.cancel()
-        await turns()
+        await run_ready_tasks()
         assert third.done() and third.result() is None
         assert slots.gate.running == 1
 
     asyncio.run(session())
 
 
-def test_who_can_no_longer_end_in_time_is_told_before_its_deadline(slots, now):
-    # The answer before it takes longer than any so far. Held until the deadline, the
-    # caller would have no time left to ask elsewhere.
+def test_an_attempt_that_cannot_end_in_time_is_refused_before_its_deadline(slots, now):
+    # The request ahead takes longer than any before it. If the second one waited until
+    # its deadline, its caller would have no time left to retry elsewhere.
     async def session():
         async with Slot(slots, attempt("long")):
-            late = asyncio.create_task(slots.take(attempt("late", deadline=3.0)))
-            await turns()
+            late = asyncio.create_task(slots.acquire(attempt("late", deadline=3.0)))
+            await run_ready_tasks()
             now[0] = 2.5
-            slots.give()
-            await turns()
+            slots.assign()
+            await run_ready_tasks()
             assert late.done()
         return late.result()
 
@@ -64,11 +64,11 @@
     assert refusal.retry_after > 0
 
 
-def test_nothing_runs_while_the_gate_is_closed_and_all_when_it_opens(slots):
+def test_requests_wait_while_the_gate_is_closed_and_run_when_it_opens(slots):
     async def session():
         slots.gate.open = False
-        waiting = asyncio.create_task(slots.take(attempt("first")))
-        await turns()
+        waiting = asyncio.create_task(slots.acquire(attempt("first")))
+        await run_ready_tasks()
         assert not waiting.done()
         slots.gate.open = True
         assert await waiting is None
--- a/tests/tickets/test_hearing.py
+++ b/tests/tickets/test_hearing.py
@@ -1,4 +1,4 @@
-"""Who reads the table, who tells whom, and when a starting process knows enough."""
+"""Region readers, gossip targets, and when a new process knows enough tickets."""
 
 import random
 
@@ -22,46 +22,46 @@
 
 
 def test_few_entries_of_each_data_centre_read_the_table():
-    """At the target size every entry read the head twice a second, 820 reads, and
-    the store slowed down for claims. Three of a data centre are enough."""
+    """At the target size every entry read the head twice a second. These 820 reads
+    slowed the store down for claims. Three readers in a data centre are enough."""
     readers = {m.vm for dc in range(7) for m in polls("x", f"dc-{dc}", ENTRIES)}
     assert len(readers - {"x"}) <= 7 * POLLERS
     agreed = [polls(m.vm, "dc-0", ENTRIES) for m in ENTRIES if m.data_centre == "dc-0"]
     assert all(ranked == agreed[0] for ranked in agreed)
 
 
-def test_an_entry_that_the_list_lacks_may_read_itself():
+def test_an_entry_missing_from_the_list_reads_the_table_itself():
     assert [m.vm for m in polls("new", "dc-9", ENTRIES)] == ["new"]
 
 
-def test_a_leaving_entry_is_neither_reader_nor_told(rng):
+def test_an_entry_shutting_down_neither_reads_nor_receives_gossip(rng):
     leaving = [Member("entry-x", ENTRY, "h:1", data_centre="dc", leaving=True)]
     assert [m.vm for m in polls("me", "dc", leaving)] == ["me"]
     assert tell("me", "dc", leaving, rng) == []
 
 
-def test_a_change_is_told_near_and_far():
-    told = tell("entry-0", "dc-0", ENTRIES, random.Random(1))
-    assert sorted(m.data_centre == "dc-0" for m in told) == [False, True, True, True]
-    assert "entry-0" not in {m.vm for m in told}
+def test_a_change_is_sent_to_local_and_remote_entries():
+    targets = tell("entry-0", "dc-0", ENTRIES, random.Random(1))
+    assert sorted(m.data_centre == "dc-0" for m in targets) == [False, True, True, True]
+    assert "entry-0" not in {m.vm for m in targets}
 
 
 def test_pushes_reach_nearly_all_entries(rng):
-    """A ticket pushed with this fanout has reached nearly every entry before the
-    next comparison; comparisons each second bring the rest."""
-    knows, fresh = {"entry-0"}, ["entry-0"]
+    """A ticket pushed with this fanout reaches nearly every entry before the next
+    anti-entropy comparison. The comparisons each second reach the rest."""
+    informed, pending = {"entry-0"}, ["entry-0"]
     by_name = {m.vm: m for m in ENTRIES}
-    while fresh:
-        vm = fresh.pop()
-        told = {m.vm for m in tell(vm, by_name[vm].data_centre, ENTRIES, rng)}
-        fresh += sorted(told - knows)
-        knows |= told
-    assert len(knows) / len(ENTRIES) > 0.95
+    while pending:
+        vm = pending.pop()
+        targets = {m.vm for m in tell(vm, by_name[vm].data_centre, ENTRIES, rng)}
+        pending += sorted(targets - informed)
+        informed |= targets
+    assert len(informed) / len(ENTRIES) > 0.95
 
 
-def test_an_agent_asks_others_in_place_of_entries_that_fail():
+def test_an_agent_queries_other_entries_instead_of_failed_ones():
     """All three entries that an agent watches die at once, and the platform's list
-    lags; the agent hears of no ticket. It asks the next ones by rank."""
+    is outdated. The agent must query the next entries by rank to receive tickets."""
     watch = Watch()
     first = watched("vm", ENTRIES, watch, 100.0)
     for member in first:
@@ -81,19 +81,19 @@
     ],
     ids=["one-fresh", "one-old", "the-same-twice", "two-old"],
 )
-def test_a_starting_process_knows_enough(answers, known):
-    """A VM starts with the table down, and the one entry that it asks was frozen
-    for a minute: it loads the version of a minute ago. Two entries are needed."""
+def test_when_a_starting_process_knows_enough(answers, known):
+    """A VM starts while the table is unavailable, and queries one entry that was frozen
+    for a minute. It would load the version of a minute ago. Two entries are needed."""
     heard = Heard()
     for vm, age in answers:
         heard.hear(vm, age, listed=3)
     assert heard.done is known
 
 
-def test_the_only_entry_there_is_counts_alone():
+def test_a_single_entry_is_enough_if_there_is_no_other():
     assert Heard().hear("a", 60.0, listed=1)
 
 
-def test_agents_are_not_asked_for_state():
+def test_agents_are_not_queried_for_state():
     agents = [Member("draft-1", AGENT, "h:1")]
     assert watched("vm", agents, Watch(), 0.0) == []
--- a/tests/tickets/test_orders.py
+++ b/tests/tickets/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine that ignores fencing numbers, and the gate behind them."""
+"""Orders to an engine that ignores fencing tokens, and the gate that follows."""
 
 import asyncio
 
@@ -42,11 +42,11 @@
         (serving(0), wanted(), 0, False),
     ],
     ids=[
-        "as-named",
-        "former-kept",
-        "former-refused",
-        "fell-back",
-        "same-number-other-weights",
+        "as-declared",
+        "previous-kept",
+        "previous-refused",
+        "reverted",
+        "same-fence-other-weights",
         "newer-than-known",
         "role-none",
         "no-ticket",
@@ -54,18 +54,18 @@
         "loaded-by-no-ticket",
     ],
 )
-def test_the_gate(engine, ticket, highest, is_open):
+def test_gate_open(engine, ticket, highest, is_open):
     assert gate_open(engine, ticket, highest) is is_open
 
 
-def test_an_engine_is_never_ordered_less_than_it_has():
+def test_an_engine_is_never_ordered_an_older_ticket():
     assert not order_due(serving(6), wanted(5))
     assert order_due(serving(4), wanted(5))
     assert not order_due(serving(5), wanted(5))
 
 
 class OrdersMachine(RuleBasedStateMachine):
-    """An engine without fencing, answers that get lost, agents that restart."""
+    """An engine without fencing, lost responses, and agents that restart."""
 
     def __init__(self):
         super().__init__()
@@ -115,11 +115,11 @@
         assert self.history == sorted(self.history)
 
 
-def test_no_order_overtakes_another():
+def test_orders_take_effect_in_the_order_of_their_tickets():
     run_machine(OrdersMachine, settings=settings(max_examples=100))
 
 
-def _settle_on_any_look(self, engine):
+def _settle_on_any_read_back(self, engine):
     self._lost, self._settled_at = None, 0.0
 
 
@@ -128,10 +128,10 @@
     [
         (OrderBook, "settled", lambda self, now: True),
         (OrderBook, "begin", lambda self, engine, now: None),
-        (OrderBook, "see", _settle_on_any_look),
+        (OrderBook, "see", _settle_on_any_read_back),
         (policy, "SETTLE_SECONDS", 1.0),
     ],
-    ids=["never-waits", "restart-forgets", "any-look-settles", "waits-too-short"],
+    ids=["never-waits", "restart-forgets", "any-read-back-settles", "waits-too-short"],
 )
 def test_a_broken_copy_of_a_rule_is_caught(monkeypatch, owner, name, broken):
     monkeypatch.setattr(owner, name, broken)
@@ -147,7 +147,7 @@
 
 @define
 class FakeEngine:
-    """Carries orders out as told: "ok", "lose" the answer, or "late" by seconds."""
+    """Executes orders by ``faults``: "ok", "lose" the response, "late" by seconds."""
 
     session: "Session"
     faults: list = field(factory=list)
@@ -169,13 +169,13 @@
         if fault.startswith("late"):
             self.late.append((self.session.now + float(fault.split()[1]), order))
         else:
-            await self.session.pause(0.5)
-            self.carry_out(order)
+            await self.session.sleep(0.5)
+            self.execute(order)
         if fault != "ok":
             raise PlatformUnavailable("engine", "hung up", maybe_applied=True)
         return self.loaded_now
 
-    def carry_out(self, order):
+    def execute(self, order):
         self.loaded_now = order
         self.session.note(f"engine: serves {order.fence}")
 
@@ -188,12 +188,12 @@
 @define
 class FakeRunner:
     gate: Gate = field(factory=Gate)
-    in_force: Serving = field(factory=Serving)
+    serving: Serving = field(factory=Serving)
 
 
 @define
 class Session:
-    """One agent and one engine on a clock that moves only when somebody waits."""
+    """One agent and one engine on a clock that advances only when a task sleeps."""
 
     now: float = 100.0
     log: list = field(factory=list)
@@ -212,7 +212,7 @@
             OrderBook(),
             lambda: self.wanted,
             clock=lambda: self.now,
-            pause=self.pause,
+            sleep=self.sleep,
         )
 
     def emit(self, kind, /, **fields):
@@ -222,7 +222,7 @@
         gate = "open" if self.runner.gate.open else "closed"
         self.log.append(f"{self.now:7.1f} {line} [gate {gate}]")
 
-    async def pause(self, seconds):
+    async def sleep(self, seconds):
         self.pass_time(seconds)
 
     def pass_time(self, seconds):
@@ -230,33 +230,33 @@
         for item in list(self.engine.late):
             if item[0] <= self.now:
                 self.engine.late.remove(item)
-                self.engine.carry_out(item[1])
+                self.engine.execute(item[1])
 
-    async def bring(self, orders, ticket):
+    async def apply(self, orders, ticket):
         self.wanted = wanted(ticket, f"d{ticket}")
         self.note(f"ticket {ticket}")
 
-        async def turn():
+        async def wait_for_turn():
             return None
 
         try:
-            await orders.bring(self.wanted, 1, turn)
+            await orders.apply(self.wanted, 1, wait_for_turn)
             self.note(f"ticket {ticket} in force")
         except Exception as exc:
             self.note(f"{type(exc).__name__}: {exc}")
 
 
 def test_session_of_an_order_whose_answer_is_lost(data_regression):
-    """Ticket 2's order is answered by a hang-up and takes effect three seconds
-    later, after ticket 3 has come. Sent at once, ticket 3's order would be undone
-    by it, on an engine that does not look at fencing numbers."""
+    """The response to ticket 2's order is lost, and the order takes effect three
+    seconds later, after ticket 3 has arrived. If ticket 3's order were sent at once,
+    ticket 2's order would undo it: the engine ignores fencing tokens."""
     session = Session()
     session.engine.faults = ["ok", "late 3.0", "ok"]
 
     async def run():
         orders = session.orders()
         for ticket in (1, 2, 3):
-            await session.bring(orders, ticket)
+            await session.apply(orders, ticket)
 
     asyncio.run(run())
     assert session.engine.loaded_now.fence == 3
@@ -264,17 +264,17 @@
 
 
 def test_session_of_a_restarted_agent(data_regression):
-    """The agent dies with ticket 2's order on its way, and its successor orders
-    ticket 3 at once; then the engine carries ticket 2 out, and serves it for good."""
+    """The agent dies while ticket 2's order is in flight. If the next agent ordered
+    ticket 3 at once, the engine would execute ticket 2 after it and keep serving it."""
     session = Session()
     session.engine.faults = ["ok", "late 3.0", "ok"]
 
     async def run():
         first = session.orders()
-        await session.bring(first, 1)
-        await session.bring(first, 2)
+        await session.apply(first, 1)
+        await session.apply(first, 2)
         session.note("agent restarts")
-        await session.bring(session.orders(), 3)
+        await session.apply(session.orders(), 3)
 
     asyncio.run(run())
     assert session.engine.loaded_now.fence == 3
@@ -282,19 +282,19 @@
 
 
 def test_a_newer_ticket_does_not_cancel_an_order_in_flight():
-    """Two tickets come fast; the second one's order is sent while the first is
-    still on its way, and the engine ends at the first. Cause: the first one's task
-    was cancelled, and nobody knew of its order any more."""
+    """Two tickets arrive within a short time. The second order was sent while the first
+    was in flight, and the engine ended with the first ticket. Cause: the task of the
+    first order was cancelled, and its order was forgotten."""
     session = Session()
 
     async def run():
         session.engine.held = asyncio.Event()
         orders = session.orders()
-        first = asyncio.create_task(session.bring(orders, 1))
+        first = asyncio.create_task(session.apply(orders, 1))
         while not session.engine.waiting:
             await asyncio.sleep(0)
         first.cancel()
-        second = asyncio.create_task(session.bring(orders, 2))
+        second = asyncio.create_task(session.apply(orders, 2))
         await asyncio.sleep(0)
         session.engine.held.set()
         await second
@@ -305,16 +305,16 @@
     assert session.engine.loaded_now.fence == 2
 
 
-def test_old_state_orders_nothing(make_ticket):
-    """A new agent starts from a peer that was frozen, and orders the engine beside
-    it back to the ticket of a minute ago."""
+def test_an_agent_with_old_state_sends_no_order(make_ticket):
+    """A new agent gets its state from a peer that was frozen. It must not order its
+    engine back to the ticket of a minute ago."""
     session = Session()
     session.engine.loaded_now = serving(5)
 
     async def run():
         session.wanted = wanted(4, "d4")
         with pytest.raises(OrderWithheld):
-            await session.orders().bring(session.wanted, 1, None)
+            await session.orders().apply(session.wanted, 1, None)
 
     asyncio.run(run())
     assert session.engine.loaded_now.fence == 5
--- a/tests/tickets/test_reconcile.py
+++ b/tests/tickets/test_reconcile.py
@@ -1,4 +1,4 @@
-"""One server is brought to what its own tickets name, model and adapters at once."""
+"""A server is brought to what its tickets declare, model and adapters together."""
 
 import asyncio
 
@@ -15,18 +15,18 @@
 WEIGHTS = {v: make_weights("m", v, 2, 8, 0) for v in ("v1", "v2", "tone-1")}
 
 
-def names(ticket, scope, version, slot="model"):
+def assignment(ticket, scope, version, slot="model"):
     change = Change(scope, slot, "m", version, WEIGHTS[version][0].digest)
     return Assignment(ticket, change, ticket)
 
 
 @define
 class Server:
-    """Engine, orders, transfers, rows and metrics of one VM, as its agent sees it."""
+    """Fake of the engine, orders, transfers, rows and metrics of one VM."""
 
     store: ChunkStore = field(factory=ChunkStore)
     serving: Serving = field(factory=Serving)
-    begun: list = field(factory=list)
+    started: list = field(factory=list)
     ordered: list = field(factory=list)
     rows: list = field(factory=list)
     may_transfer: asyncio.Event = field(factory=asyncio.Event)
@@ -46,7 +46,7 @@
     async def read_back(self):
         pass
 
-    async def bring(self, wanted, chunks, turn):
+    async def apply(self, wanted, chunks, wait_for_turn):
         self.serving = ordered_by(wanted)
         self.ordered.append((wanted.ticket, wanted.adapters, chunks))
 
@@ -67,7 +67,7 @@
             sources = {}
 
             async def run(self):
-                server.begun.append(manifest.version)
+                server.started.append(manifest.version)
                 await server.write()
                 await server.may_transfer.wait()
                 for digest, data in zip(
@@ -110,25 +110,25 @@
     return server, spread, reconciler
 
 
-def test_a_ticket_for_others_does_not_begin_a_transfer_anew(scene):
-    """A transfer takes minutes, and every twelve seconds some ticket changes some
-    other service. The weights never came to be in force: each change, whomever it
-    named, cancelled the transfer here and began it anew."""
+def test_a_ticket_for_other_servers_does_not_restart_a_transfer(scene):
+    """A transfer takes minutes, and every twelve seconds a ticket changes some other
+    service. Each of these changes used to cancel and restart the transfer here, so the
+    weights never took effect."""
     server, spread, reconciler = scene
 
     async def run():
-        spread.merge([names(1, "a", "v1")], 1)
+        spread.merge([assignment(1, "a", "v1")], 1)
         task = asyncio.create_task(reconciler.run())
-        await server.until(lambda: server.begun)
+        await server.until(lambda: server.started)
         for ticket in (2, 3, 4):
-            spread.merge([names(ticket, "other", "v2")], ticket)
+            spread.merge([assignment(ticket, "other", "v2")], ticket)
             for _ in range(10):
                 await asyncio.sleep(0)
-        begun_meanwhile = list(server.begun)
+        started_meanwhile = list(server.started)
         server.may_transfer.set()
         await server.until(lambda: server.rows)
         task.cancel()
-        return begun_meanwhile
+        return started_meanwhile
 
     assert asyncio.run(run()) == ["v1"]
     assert server.rows == [("model", 1)]
@@ -138,11 +138,11 @@
     server, spread, reconciler = scene
 
     async def run():
-        spread.merge([names(1, "a", "v1")], 1)
+        spread.merge([assignment(1, "a", "v1")], 1)
         task = asyncio.create_task(reconciler.run())
-        await server.until(lambda: server.begun)
-        spread.merge([names(2, "a/vm-1", "v2")], 2)
-        await server.until(lambda: server.begun[-1] == "v2")
+        await server.until(lambda: server.started)
+        spread.merge([assignment(2, "a/vm-1", "v2")], 2)
+        await server.until(lambda: server.started[-1] == "v2")
         server.may_transfer.set()
         await server.until(lambda: server.rows)
         task.cancel()
@@ -152,22 +152,22 @@
 
 
 def test_a_model_and_its_adapters_are_ordered_together(scene):
-    """An adapter's ticket was accepted, shown as accepted, and never in force:
-    agents looked at the slots ``model`` and ``standby`` alone."""
+    """An adapter's ticket was accepted and shown as accepted, but never took effect:
+    agents read only the slots ``model`` and ``standby``."""
     server, spread, reconciler = scene
     server.may_transfer.set()
 
     async def run():
-        spread.merge([names(1, "a", "v1")], 1)
-        await reconciler._attempt_once()
-        spread.merge([names(2, "a", "tone-1", "adapter:tone")], 2)
-        await reconciler._attempt_once()
+        spread.merge([assignment(1, "a", "v1")], 1)
+        await reconciler._reconcile_once()
+        spread.merge([assignment(2, "a", "tone-1", "adapter:tone")], 2)
+        await reconciler._reconcile_once()
         spread.merge([Assignment(3, Change("a", "adapter:tone"), 3)], 3)
-        await reconciler._attempt_once()
+        await reconciler._reconcile_once()
 
     asyncio.run(run())
     tone = WEIGHTS["tone-1"][0].digest
-    adapters = [(ticket, named) for ticket, named, _ in server.ordered]
+    adapters = [(ticket, adapters) for ticket, adapters, _ in server.ordered]
     assert adapters == [(1, {}), (2, {"tone": tone}), (3, {})]
     assert server.ordered[1][2] == {WEIGHTS["v1"][0].digest: 2, tone: 2}
     assert server.rows == [("model", 1), ("adapter:tone", 2)]
@@ -175,14 +175,14 @@
 
 
 def test_a_stop_ends_the_step_in_progress(scene):
-    """A stopped agent's log ended in a traceback: its transfer went on after the
-    loops were cancelled, and met a closed session."""
+    """The log of a stopped agent ended in a traceback: its transfer continued after
+    the loops were cancelled, and used a closed session."""
     server, spread, reconciler = scene
 
     async def run():
-        spread.merge([names(1, "a", "v1")], 1)
+        spread.merge([assignment(1, "a", "v1")], 1)
         task = asyncio.create_task(reconciler.run())
-        await server.until(lambda: server.begun)
+        await server.until(lambda: server.started)
         task.cancel()
         await asyncio.wait({task})
         left = asyncio.all_tasks() - {asyncio.current_task()}
--- a/tests/tickets/test_turns.py
+++ b/tests/tickets/test_turns.py
@@ -1,10 +1,10 @@
-"""Servers of a service swap in turn, and a floor of them goes on serving."""
+"""Servers of a service swap in turn, and a minimum of them keeps serving."""
 
 import asyncio
 import random
 
 import pytest
-from wasabideck_agent.swap_turns import SwapTurns
+from wasabideck_agent.swap_turns import SwapScheduler
 from wasabideck_policy.membership import AGENT, Member
 from wasabideck_policy.turns import SLOT_SECONDS, WAVES, may_swap, own_turn
 
@@ -12,7 +12,7 @@
 
 
 def _roll_out(servers, swap_seconds):
-    """Most servers that were down at once, and when the last one had swapped."""
+    """Return the maximum of servers down at once, and the end of the last swap."""
     vms = [f"vm-{i}" for i in range(servers)]
     back_at, now, most = {}, 0.0, 0
     while len(back_at) < servers or now < max(back_at.values()):
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("servers", [1, 2, 3, 8, 40])
 @pytest.mark.parametrize("swap_seconds", [0.05, 2.0])
-def test_a_floor_of_servers_goes_on_serving(servers, swap_seconds):
+def test_a_minimum_of_servers_keeps_serving(servers, swap_seconds):
     most, _ = _roll_out(servers, swap_seconds)
     assert most <= max(1, servers // WAVES)
 
@@ -41,51 +41,51 @@
 
 
 @pytest.mark.parametrize("wall", [0.0, 0.25, 0.5])
-def test_a_frozen_server_does_not_hold_the_others_up(wall):
-    """One of three servers is frozen. A ticket was in force on the others only after
-    6.8 s: each waited its whole patience for the frozen one to serve again."""
+def test_a_frozen_server_does_not_delay_the_others(wall):
+    """One of three servers is frozen. A ticket took effect on the others only after
+    6.8 s: each waited the maximum time for the frozen one to serve again."""
     now = [wall]
 
-    async def ask(peer):
+    async def query(peer):
         if peer.vm == "frozen":
             now[0] += 0.5
             return None
         return True
 
-    async def pause(seconds):
+    async def sleep(seconds):
         now[0] += seconds
 
     peers = [Member(vm, AGENT, "h:1") for vm in ("frozen", "other")]
-    turns = SwapTurns(
+    scheduler = SwapScheduler(
         "me",
         lambda: peers,
-        ask,
+        query,
         random.Random(1),
         clock=lambda: now[0],
         wall=lambda: now[0],
-        pause=pause,
+        sleep=sleep,
     )
-    asyncio.run(turns.wait(7, 0.05))
+    asyncio.run(scheduler.wait(7, 0.05))
     assert now[0] - wall < 1.8
 
 
-def test_a_server_that_says_it_does_not_serve_is_waited_for():
+def test_a_server_that_reports_that_it_does_not_serve_is_waited_for():
     now = [0.0]
 
-    async def ask(peer):
+    async def query(peer):
         return now[0] > 1.5
 
-    async def pause(seconds):
+    async def sleep(seconds):
         now[0] += seconds
 
-    turns = SwapTurns(
+    scheduler = SwapScheduler(
         "me",
         lambda: [Member("other", AGENT, "h:1")],
-        ask,
+        query,
         random.Random(1),
         clock=lambda: now[0],
         wall=lambda: now[0],
-        pause=pause,
+        sleep=sleep,
     )
-    asyncio.run(turns.wait(7, 0.05))
+    asyncio.run(scheduler.wait(7, 0.05))
     assert now[0] > 1.5
