--- a/packages/wasabideck_agent/wasabideck_agent/agent.py
+++ b/packages/wasabideck_agent/wasabideck_agent/agent.py
@@ -40,7 +40,7 @@
     events: Events
     channels: Channels
     platform: Platform
-    spread: Spread
+    ticket_replication: Spread
     runner: Runner
     store: ChunkStore
     chunks_service: ChunksService
@@ -135,18 +135,18 @@
         """
         members = watched(self.vm, self.members, self.watch, time.monotonic())
         await asyncio.gather(*(self._sync_with(m, len(members)) for m in members))
-        if not self.spread.heard:
+        if not self.ticket_replication.heard:
             try:
-                await self.spread.poll(self.platform.table)
+                await self.ticket_replication.poll(self.platform.table)
             except PlatformUnavailable as exc:
                 self.events.emit("table.unavailable", why=str(exc))
         if self.cfg.server.kind == PLAIN:
-            self.runner.gate.open = self.spread.heard
+            self.runner.gate.open = self.ticket_replication.heard
 
     async def _sync_with(self, member: Member, listed: int) -> None:
         channel = self.channels.get(member.address)
         try:
-            await self.spread.sync(member.vm, channel, listed)
+            await self.ticket_replication.sync(member.vm, channel, listed)
         except LINK_FAILURES:
             self.channels.drop(member.address, channel)
             self.watch.failed(member.vm, time.monotonic())
@@ -159,5 +159,5 @@
 
     async def clean_up_attempts(self) -> None:
         """Forget attempts that ended long ago; stop attempts without a reader."""
-        self.runner.attempts.forget_old(time.monotonic())
+        self.runner.attempts.remove_expired(time.monotonic())
         await self.runner.stop_orphans()
--- a/packages/wasabideck_agent/wasabideck_agent/assembly.py
+++ b/packages/wasabideck_agent/wasabideck_agent/assembly.py
@@ -54,7 +54,7 @@
     http = HttpClient(cfg.server.url, cfg.platform.timeout_seconds, session)
     plain = cfg.server.kind == PLAIN
     channels = Channels(events.clock, keys and keys.inner_client)
-    spread = Spread(cfg.process.vm, events)
+    ticket_replication = Spread(cfg.process.vm, events)
     # Never derived from the seed: a process that restarts with the same settings must
     # be distinguishable from the one that died.
     incarnation = uuid.uuid4().hex
@@ -67,7 +67,7 @@
         plain=PlainService(http) if plain else None,
         once=Once(holder, ClaimStore(platform.table, events), channels, events),
         attempts=Attempts(Arrivals(incarnation)),
-        quarantine=spread.quarantine,
+        quarantine=ticket_replication.quarantine,
     )
     if not cfg.server.reports_load:
         capacity = cfg.server.capacity
@@ -80,7 +80,7 @@
         events,
         channels,
         platform,
-        spread,
+        ticket_replication,
         runner,
         store,
         ChunksService(store, links, cfg.weights.uploads),
@@ -93,7 +93,7 @@
 
 def inner_services(agent: Agent) -> list:
     """Return the services of the inner protocol that an agent provides."""
-    agent.peers_service = PeersService(agent.spread, agent.status)
+    agent.peers_service = PeersService(agent.ticket_replication, agent.status)
     return [RunsService(agent.runner), agent.peers_service, agent.chunks_service]
 
 
@@ -133,7 +133,7 @@
         agent.cfg.server.service,
         agent.runner.engine,
         orders,
-        agent.spread,
+        agent.ticket_replication,
         agent.manifest_reader().read,
         agent.delivery_rows,
         agent.store,
--- a/packages/wasabideck_agent/wasabideck_agent/attempts.py
+++ b/packages/wasabideck_agent/wasabideck_agent/attempts.py
@@ -222,7 +222,7 @@
             if not a.readers and a.unread_since and a.unread_since < limit
         ]
 
-    def forget_old(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop attempts that ended, or were cancelled, long ago."""
         for attempt_id, attempt in self._by_id.items():
             if attempt.ended_at is not None and not attempt.record_pending:
--- a/packages/wasabideck_agent/wasabideck_agent/claim_store.py
+++ b/packages/wasabideck_agent/wasabideck_agent/claim_store.py
@@ -74,7 +74,7 @@
         PlatformUnavailable
             The table is unavailable and the claim certainly does not exist.
         ClaimUnresolved
-            The claim may exist; the call must not run all the same.
+            The claim may exist; the call must not run in either case.
         """
         found: Claim | None = None
         for _ in range(MAX_TAKE_TRIES):
--- a/packages/wasabideck_agent/wasabideck_agent/once.py
+++ b/packages/wasabideck_agent/wasabideck_agent/once.py
@@ -53,7 +53,7 @@
     reader_timeout : float
         Maximum time to wait for an entry that reads an attempt's events, seconds.
     holder_timeout : float
-        Time without data after which the holder of a claim is taken for lost, seconds.
+        Time without data after which the holder of a claim is considered lost, seconds.
     """
 
     holder: Holder
--- a/packages/wasabideck_agent/wasabideck_agent/reconcile.py
+++ b/packages/wasabideck_agent/wasabideck_agent/reconcile.py
@@ -51,7 +51,7 @@
     service: str
     engine: Engine
     orders: Orders
-    spread: Spread
+    ticket_replication: Spread
     read_manifest: Callable[[str], Awaitable[Manifest]]
     rows: DeliveryRows
     store: ChunkStore
@@ -65,7 +65,7 @@
 
     async def run(self) -> None:
         """Follow the ticket state forever."""
-        changed = self.spread.subscribe()
+        changed = self.ticket_replication.subscribe()
         while True:
             changed.clear()
             step = asyncio.create_task(self._keep_reconciled())
@@ -110,7 +110,7 @@
             # Read back even before any ticket is known: this closes a gate that an
             # engine's restart has left open by mistake.
             await self.orders.read_back()
-            if not self.spread.heard:
+            if not self.ticket_replication.heard:
                 return False
             if target := self.desired_weights():
                 await self._apply(target)
@@ -124,11 +124,11 @@
 
     def desired_weights(self) -> Wanted | None:
         """Return what this server should serve according to the known tickets."""
-        return wanted_of(self.spread.state, self.service, self.vm)
+        return wanted_of(self.ticket_replication.state, self.service, self.vm)
 
     def standby_weights(self) -> Assignment | None:
         """Return what this server should hold without serving it."""
-        return desired(self.spread.state, self.service, self.vm, STANDBY)
+        return desired(self.ticket_replication.state, self.service, self.vm, STANDBY)
 
     async def _apply(self, target: Wanted) -> None:
         """Make the engine serve the model and its adapters."""
--- a/packages/wasabideck_agent/wasabideck_agent/runs.py
+++ b/packages/wasabideck_agent/wasabideck_agent/runs.py
@@ -117,7 +117,7 @@
     async def stop(self, attempt: Attempt) -> None:
         """Stop an attempt that has not started, or a repeatable one that has.
 
-        A call that may not be repeated is left to finish once it has started.
+        A call that may not be repeated keeps running once it has started.
         """
         if attempt.ended_at is not None:
             return
--- a/tests/answers_fakes.py
+++ b/tests/answers_fakes.py
@@ -267,7 +267,7 @@
 
 
 class Gated(FakeEngine):
-    """An engine that waits after each line until a test releases ``turn``."""
+    """An engine that waits before each line until a test releases ``turn``."""
 
     def __init__(self):
         super().__init__()
@@ -289,18 +289,18 @@
     )
 
 
-async def nobody_knows():
+async def unresolved():
     return None
 
 
-def stream_to(server, req, now, silence=0.2):
+def make_stream(server, req, now, silence=0.2):
     return AttemptStream(
         server,
         req,
         now.at + 50,
         Channels(Clock()),
         FakeEvents(),
-        nobody_knows,
+        unresolved,
         now,
         silence,
     )
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,8 +11,8 @@
     caller_of,
     draft,
     engine_agent,
+    make_stream,
     server_of,
-    stream_to,
 )
 from wasabideck_agent import attempts
 from wasabideck_agent.attempts import MAX_UNSENT_BYTES
@@ -34,7 +34,7 @@
         one = await engine_agent(engine=Gated()).serve()
         relay = Relay(lambda: one.address)
         await relay.start()
-        stream = stream_to(server_of(one, address=relay.address), draft(), one.now)
+        stream = make_stream(server_of(one, address=relay.address), draft(), one.now)
         offsets, text = [], b""
         one.engine.turn.release()
         async for event in stream.run():
@@ -55,19 +55,19 @@
 def test_a_restarted_agent_does_not_report_an_earlier_attempt_as_not_run():
     """The agent dies with a request in progress, and another has its address now.
 
-    The new agent doesn't know the attempt. It used to respond "never arrived, not
-    run", and the caller was wrongly told that its order did not run.
+    The new agent does not know the attempt. It used to respond "never arrived, not
+    run", which the caller would have received although the order may have run.
     """
 
     async def body():
         new = await engine_agent(incarnation="inc-2").serve()
         server = server_of(new)
         server.incarnation = "inc-1"
-        stream = stream_to(server, draft(), new.now)
+        stream = make_stream(server, draft(), new.now)
         stream.sent = True
         events = [event async for event in stream.run()]
         assert events[-1].final.outcome == pb.Final.UNKNOWN
-        fresh = stream_to(server, draft("d2"), new.now)
+        fresh = make_stream(server, draft("d2"), new.now)
         events = [event async for event in fresh.run()]
         assert events[-1].final.reason == "OtherIncarnation"
         assert new.engine.jobs == []
@@ -84,7 +84,7 @@
 
     async def body():
         one = await engine_agent(engine=Gated()).serve()
-        stream = stream_to(server_of(one), draft(), one.now)
+        stream = make_stream(server_of(one), draft(), one.now)
         outcome = None
         async for event in stream.run():
             if event.HasField("started"):
@@ -212,11 +212,11 @@
         for number in range(4):
             await one.run(draft(f"d{number}"))
             one.now.at += 1
-        one.runner.attempts.forget_old(one.now.at)
+        one.runner.attempts.remove_expired(one.now.at)
         kept = [one.runner.attempts.get(f"d{n}").size > 0 for n in range(4)]
         assert kept == [False, False, True, True]
         server = server_of(await one.serve())
-        stream = stream_to(server, draft("d0"), one.now)
+        stream = make_stream(server, draft("d0"), one.now)
         events = [event async for event in stream.run()]
         assert events[-1].final.reason == "EventsForgotten"
         one.close()
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -21,7 +21,7 @@
     return Claim(**table.rows[claim_key("org-1", key)])
 
 
-async def until(condition):
+async def wait_until(condition):
     while not condition():
         await asyncio.sleep(0.001)
 
@@ -60,7 +60,7 @@
         one = agent(FakeTable(plan=list(plan)))
         first = await one.run(order("a1"))
         one.table.apply_late()
-        await until(lambda: not one.runner.once.claims.pending_releases)
+        await wait_until(lambda: not one.runner.once.claims.pending_releases)
         runs = one.plain.runs.get("k1", 0)
         assert runs == (first.outcome == ANSWERED)
         second = await one.run(order("a2"))
@@ -92,7 +92,7 @@
     async def body():
         one = agent(FakeTable(plan=["ok", "down", "lost", "down"]))
         assert (await one.run(order())).outcome == ANSWERED
-        await until(lambda: not one.runner.once.unrecorded)
+        await wait_until(lambda: not one.runner.once.unrecorded)
         assert stored_answer(row(one.table)) == b"receipt of k1"
         again = await one.run(order("a2"))
         assert (again.replayed, one.plain.runs) == (True, {"k1": 1})
@@ -114,7 +114,9 @@
             await one.table.entered.wait()
             assert await one.runner.cancel(pb.CancelRequest(attempt="a1"))
             one.table.hold.set()
-            await until(lambda: one.table.rows and row(one.table).state == "released")
+            await wait_until(
+                lambda: one.table.rows and row(one.table).state == "released"
+            )
         assert (await one.run(order("a2"))).outcome == ANSWERED
         assert one.plain.runs == {"k1": 1}
 
@@ -184,7 +186,7 @@
         first = asyncio.create_task(one.run(order("a1")))
         await plain.entered.wait()
         second = asyncio.create_task(two.run(order("a2", incarnation="inc-2")))
-        await until(lambda: one.runner.open_streams)
+        await wait_until(lambda: one.runner.open_streams)
         plain.hold.set()
         assert (await first).outcome == ANSWERED
         assert (await second).replayed
@@ -205,19 +207,19 @@
 
     async def body():
         table = FakeTable()
-        gone = await agent(table).serve()
+        holder = await agent(table).serve()
         held = Claim("org-1", "k1", b"20 banners".hex(), "a1", "order-1")
         table.rows[claim_key("org-1", "k1")] = {
             **{k: getattr(held, k) for k in held.__slots__ if k != "__weakref__"},
-            "address": gone.address,
+            "address": holder.address,
             "incarnation": "inc-0",
         }
         if not restarted:
-            gone.close()
+            holder.close()
         two = await agent(table, vm="order-2").serve()
         final = await two.run(order("a2"))
         assert (final.outcome, two.plain.runs) == (UNKNOWN, {})
-        gone.close(), two.close()
+        holder.close(), two.close()
 
     asyncio.run(body())
 
@@ -242,7 +244,7 @@
     async def body():
         one = agent()
         await one.run(order("a1"))
-        await until(lambda: not one.runner.once.unrecorded)
+        await wait_until(lambda: not one.runner.once.unrecorded)
         other = await one.run(order("a2", body=b"30 banners"))
         assert (other.outcome, other.reason) == (NOT_RUN, "KeyReused")
         assert one.plain.runs == {"k1": 1}
--- a/tests/tickets/test_orders.py
+++ b/tests/tickets/test_orders.py
@@ -18,7 +18,7 @@
 NEWEST = "d5"
 
 
-def wanted(ticket=5, manifest=NEWEST, cutover="keep"):
+def desired(ticket=5, manifest=NEWEST, cutover="keep"):
     change = Change("a", "model", "m", f"v{ticket}", manifest, cutover=cutover)
     return Wanted(ticket, change, (Assignment(ticket, change),))
 
@@ -30,16 +30,16 @@
 @pytest.mark.parametrize(
     ("engine", "ticket", "highest", "is_open"),
     [
-        (serving(5), wanted(), 5, True),
-        (serving(4), wanted(), 4, True),
-        (serving(4), wanted(cutover="refuse"), 4, False),
-        (serving(4), wanted(), 5, False),
-        (serving(5, "other"), wanted(), 5, False),
-        (serving(6), wanted(), 6, False),
-        (serving(5), wanted(manifest=""), 5, False),
+        (serving(5), desired(), 5, True),
+        (serving(4), desired(), 4, True),
+        (serving(4), desired(cutover="refuse"), 4, False),
+        (serving(4), desired(), 5, False),
+        (serving(5, "other"), desired(), 5, False),
+        (serving(6), desired(), 6, False),
+        (serving(5), desired(manifest=""), 5, False),
         (serving(5), None, 5, False),
-        (Serving(), wanted(), 0, False),
-        (serving(0), wanted(), 0, False),
+        (Serving(), desired(), 0, False),
+        (serving(0), desired(), 0, False),
     ],
     ids=[
         "as-declared",
@@ -59,9 +59,9 @@
 
 
 def test_an_engine_is_never_ordered_an_older_ticket():
-    assert not order_due(serving(6), wanted(5))
-    assert order_due(serving(4), wanted(5))
-    assert not order_due(serving(5), wanted(5))
+    assert not order_due(serving(6), desired(5))
+    assert order_due(serving(4), desired(5))
+    assert not order_due(serving(5), desired(5))
 
 
 class OrdersMachine(RuleBasedStateMachine):
@@ -70,7 +70,7 @@
     def __init__(self):
         super().__init__()
         self.now = 0.0
-        self.wanted = 1
+        self.desired = 1
         self.engine = 1
         self.late = []
         self.history = [1]
@@ -83,7 +83,7 @@
 
     @rule()
     def new_ticket(self):
-        self.wanted += 1
+        self.desired += 1
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 9.0]))
     def time_passes(self, seconds):
@@ -96,15 +96,15 @@
     @rule(delay=st.sampled_from([None, 0.0, 2.0, 9.0]), lost=st.booleans())
     def agent_acts(self, delay, lost):
         self.book.see(serving(self.engine))
-        due = order_due(serving(self.engine), wanted(self.wanted, f"d{self.wanted}"))
+        due = order_due(serving(self.engine), desired(self.desired, f"d{self.desired}"))
         if not due or not self.book.settled(self.now):
             return
         if not lost:
-            self.load(self.wanted)
+            self.load(self.desired)
         elif delay is not None:
-            self.late.append((self.now + delay, self.wanted))
+            self.late.append((self.now + delay, self.desired))
         if lost:
-            self.book.lose(self.wanted, self.now)
+            self.book.lose(self.desired, self.now)
 
     def load(self, fence):
         self.engine = fence
@@ -135,14 +135,14 @@
 )
 def test_a_broken_copy_of_a_rule_is_caught(monkeypatch, owner, name, broken):
     monkeypatch.setattr(owner, name, broken)
-    many = settings(
+    many_examples = settings(
         max_examples=1000,
         print_blob=False,
         phases=[Phase.generate],
         report_multiple_bugs=False,
     )
     with pytest.raises(AssertionError):
-        run_machine(OrdersMachine, settings=many)
+        run_machine(OrdersMachine, settings=many_examples)
 
 
 @define
@@ -197,7 +197,7 @@
 
     now: float = 100.0
     log: list = field(factory=list)
-    wanted: Wanted | None = None
+    desired: Wanted | None = None
     engine: FakeEngine = field(init=False)
     runner: FakeRunner = field(factory=FakeRunner)
 
@@ -210,7 +210,7 @@
             self.runner,
             self,
             OrderBook(),
-            lambda: self.wanted,
+            lambda: self.desired,
             clock=lambda: self.now,
             sleep=self.sleep,
         )
@@ -233,14 +233,14 @@
                 self.engine.execute(item[1])
 
     async def apply(self, orders, ticket):
-        self.wanted = wanted(ticket, f"d{ticket}")
+        self.desired = desired(ticket, f"d{ticket}")
         self.note(f"ticket {ticket}")
 
         async def wait_for_turn():
             return None
 
         try:
-            await orders.apply(self.wanted, 1, wait_for_turn)
+            await orders.apply(self.desired, 1, wait_for_turn)
             self.note(f"ticket {ticket} in force")
         except Exception as exc:
             self.note(f"{type(exc).__name__}: {exc}")
@@ -312,9 +312,9 @@
     session.engine.loaded_now = serving(5)
 
     async def run():
-        session.wanted = wanted(4, "d4")
+        session.desired = desired(4, "d4")
         with pytest.raises(OrderWithheld):
-            await session.orders().apply(session.wanted, 1, None)
+            await session.orders().apply(session.desired, 1, None)
 
     asyncio.run(run())
     assert session.engine.loaded_now.fence == 5
--- a/tests/tickets/test_reconcile.py
+++ b/tests/tickets/test_reconcile.py
@@ -30,7 +30,7 @@
     ordered: list = field(factory=list)
     rows: list = field(factory=list)
     may_transfer: asyncio.Event = field(factory=asyncio.Event)
-    moved: asyncio.Condition = field(factory=asyncio.Condition)
+    changed: asyncio.Condition = field(factory=asyncio.Condition)
     sources: dict = field(factory=dict)
 
     def emit(self, kind, /, **fields):
@@ -46,16 +46,16 @@
     async def read_back(self):
         pass
 
-    async def apply(self, wanted, chunks, wait_for_turn):
-        self.serving = ordered_by(wanted)
-        self.ordered.append((wanted.ticket, wanted.adapters, chunks))
+    async def apply(self, desired, chunks, wait_for_turn):
+        self.serving = ordered_by(desired)
+        self.ordered.append((desired.ticket, desired.adapters, chunks))
 
     def add(self, delivery):
         self.rows.append((delivery.slot, delivery.ticket))
 
     async def write(self):
-        async with self.moved:
-            self.moved.notify_all()
+        async with self.changed:
+            self.changed.notify_all()
 
     async def manifest(self, digest):
         return next(m for m, _ in WEIGHTS.values() if m.digest == digest)
@@ -83,21 +83,21 @@
     async def stage(self, digest, index, data):
         pass
 
-    async def until(self, condition):
-        async with self.moved:
-            await asyncio.wait_for(self.moved.wait_for(condition), 10)
+    async def wait_until(self, condition):
+        async with self.changed:
+            await asyncio.wait_for(self.changed.wait_for(condition), 10)
 
 
 @pytest.fixture
-def scene():
+def reconciler_parts():
     server = Server()
-    spread = Spread("vm-1", server)
+    ticket_replication = Spread("vm-1", server)
     reconciler = Reconciler(
         "vm-1",
         "a",
         server,
         server,
-        spread,
+        ticket_replication,
         server.manifest,
         server,
         server.store,
@@ -106,27 +106,27 @@
         server.make_transfer,
         None,
     )
-    spread._heard.done = True
-    return server, spread, reconciler
+    ticket_replication._heard.done = True
+    return server, ticket_replication, reconciler
 
 
-def test_a_ticket_for_other_servers_does_not_restart_a_transfer(scene):
+def test_a_ticket_for_other_servers_does_not_restart_a_transfer(reconciler_parts):
     """A transfer takes minutes, and every twelve seconds a ticket changes some other
     service. Each of these changes used to cancel and restart the transfer here, so the
     weights never took effect."""
-    server, spread, reconciler = scene
+    server, ticket_replication, reconciler = reconciler_parts
 
     async def run():
-        spread.merge([assignment(1, "a", "v1")], 1)
+        ticket_replication.merge([assignment(1, "a", "v1")], 1)
         task = asyncio.create_task(reconciler.run())
-        await server.until(lambda: server.started)
+        await server.wait_until(lambda: server.started)
         for ticket in (2, 3, 4):
-            spread.merge([assignment(ticket, "other", "v2")], ticket)
+            ticket_replication.merge([assignment(ticket, "other", "v2")], ticket)
             for _ in range(10):
                 await asyncio.sleep(0)
         started_meanwhile = list(server.started)
         server.may_transfer.set()
-        await server.until(lambda: server.rows)
+        await server.wait_until(lambda: server.rows)
         task.cancel()
         return started_meanwhile
 
@@ -134,35 +134,35 @@
     assert server.rows == [("model", 1)]
 
 
-def test_a_newer_ticket_for_this_server_supersedes_the_transfer(scene):
-    server, spread, reconciler = scene
+def test_a_newer_ticket_for_this_server_supersedes_the_transfer(reconciler_parts):
+    server, ticket_replication, reconciler = reconciler_parts
 
     async def run():
-        spread.merge([assignment(1, "a", "v1")], 1)
+        ticket_replication.merge([assignment(1, "a", "v1")], 1)
         task = asyncio.create_task(reconciler.run())
-        await server.until(lambda: server.started)
-        spread.merge([assignment(2, "a/vm-1", "v2")], 2)
-        await server.until(lambda: server.started[-1] == "v2")
+        await server.wait_until(lambda: server.started)
+        ticket_replication.merge([assignment(2, "a/vm-1", "v2")], 2)
+        await server.wait_until(lambda: server.started[-1] == "v2")
         server.may_transfer.set()
-        await server.until(lambda: server.rows)
+        await server.wait_until(lambda: server.rows)
         task.cancel()
 
     asyncio.run(run())
     assert [ticket for ticket, _, _ in server.ordered] == [2]
 
 
-def test_a_model_and_its_adapters_are_ordered_together(scene):
+def test_a_model_and_its_adapters_are_ordered_together(reconciler_parts):
     """An adapter's ticket was accepted and shown as accepted, but never took effect:
     agents read only the slots ``model`` and ``standby``."""
-    server, spread, reconciler = scene
+    server, ticket_replication, reconciler = reconciler_parts
     server.may_transfer.set()
 
     async def run():
-        spread.merge([assignment(1, "a", "v1")], 1)
+        ticket_replication.merge([assignment(1, "a", "v1")], 1)
         await reconciler._reconcile_once()
-        spread.merge([assignment(2, "a", "tone-1", "adapter:tone")], 2)
+        ticket_replication.merge([assignment(2, "a", "tone-1", "adapter:tone")], 2)
         await reconciler._reconcile_once()
-        spread.merge([Assignment(3, Change("a", "adapter:tone"), 3)], 3)
+        ticket_replication.merge([Assignment(3, Change("a", "adapter:tone"), 3)], 3)
         await reconciler._reconcile_once()
 
     asyncio.run(run())
@@ -171,18 +171,18 @@
     assert adapters == [(1, {}), (2, {"tone": tone}), (3, {})]
     assert server.ordered[1][2] == {WEIGHTS["v1"][0].digest: 2, tone: 2}
     assert server.rows == [("model", 1), ("adapter:tone", 2)]
-    assert wanted_of(spread.state, "a", "vm-1").ticket == 3
+    assert wanted_of(ticket_replication.state, "a", "vm-1").ticket == 3
 
 
-def test_a_stop_ends_the_step_in_progress(scene):
+def test_a_stop_ends_the_step_in_progress(reconciler_parts):
     """The log of a stopped agent ended in a traceback: its transfer continued after
     the loops were cancelled, and used a closed session."""
-    server, spread, reconciler = scene
+    server, ticket_replication, reconciler = reconciler_parts
 
     async def run():
-        spread.merge([assignment(1, "a", "v1")], 1)
+        ticket_replication.merge([assignment(1, "a", "v1")], 1)
         task = asyncio.create_task(reconciler.run())
-        await server.until(lambda: server.started)
+        await server.wait_until(lambda: server.started)
         task.cancel()
         await asyncio.wait({task})
         left = asyncio.all_tasks() - {asyncio.current_task()}
--- a/tests/tickets/test_turns.py
+++ b/tests/tickets/test_turns.py
@@ -14,7 +14,7 @@
 def _roll_out(servers, swap_seconds):
     """Return the maximum of servers down at once, and the end of the last swap."""
     vms = [f"vm-{i}" for i in range(servers)]
-    back_at, now, most = {}, 0.0, 0
+    back_at, now, max_down = {}, 0.0, 0
     while len(back_at) < servers or now < max(back_at.values()):
         for vm in vms:
             down = {other for other, at in back_at.items() if at > now}
@@ -23,16 +23,16 @@
                 continue
             if may_swap(servers - 1, serving):
                 back_at[vm] = now + swap_seconds
-        most = max(most, sum(at > now for at in back_at.values()))
+        max_down = max(max_down, sum(at > now for at in back_at.values()))
         now += STEP
-    return most, now
+    return max_down, now
 
 
 @pytest.mark.parametrize("servers", [1, 2, 3, 8, 40])
 @pytest.mark.parametrize("swap_seconds", [0.05, 2.0])
 def test_a_minimum_of_servers_keeps_serving(servers, swap_seconds):
-    most, _ = _roll_out(servers, swap_seconds)
-    assert most <= max(1, servers // WAVES)
+    max_down, _ = _roll_out(servers, swap_seconds)
+    assert max_down <= max(1, servers // WAVES)
 
 
 def test_short_swaps_of_a_large_service_take_one_round():
