--- a/packages/wasabideck_base/wasabideck_base/addresses.py
+++ b/packages/wasabideck_base/wasabideck_base/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as settings and messages write them."""
+"""Parsing of the addresses in settings and messages."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of ``host:port``."""
+    """Return the host and the port of ``host:port``."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/packages/wasabideck_base/wasabideck_base/channels.py
+++ b/packages/wasabideck_base/wasabideck_base/channels.py
@@ -1,4 +1,4 @@
-"""Connections of the inner protocol, carrying the hybrid logical clock."""
+"""Channels of the inner protocol; each message carries the hybrid logical clock."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 __all__ = ["LINK_FAILURES", "Channels", "observe_clock"]
 
-HLC = "wasabideck-hlc"
+CLOCK_METADATA_KEY = "wasabideck-hlc"
 
-# Whatever a call over a broken, refused or silent connection raises, or one to a
-# peer that answers nonsense.
+# The exceptions of a call over a broken, refused or unresponsive connection, or to a
+# peer that returns a malformed response.
 LINK_FAILURES = (
     GRPCError,
     StreamTerminatedError,
@@ -41,12 +41,12 @@
 
 @define
 class Channels:
-    """One open channel per address, made when first used.
+    """One open channel per address, created on first use.
 
     Attributes
     ----------
     window : int
-        Bytes that each answer may have under way; 0 for the library's own limit.
+        Flow-control window of each response in bytes; 0 for the library's default.
     """
 
     clock: Clock
@@ -55,22 +55,22 @@
     _open: dict[str, Channel] = field(factory=dict)
 
     def get(self, address: str) -> Channel:
-        """The channel to an address."""
+        """Return the channel to an address."""
         if address not in self._open:
             host, port = split_address(address)
             channel = InnerChannel(host, port, self.ssl, self.window)
-            listen(channel, SendRequest, self._stamp)
-            listen(channel, RecvInitialMetadata, self._hear)
-            listen(channel, RecvTrailingMetadata, self._hear)
+            listen(channel, SendRequest, self._send_clock)
+            listen(channel, RecvInitialMetadata, self._receive_clock)
+            listen(channel, RecvTrailingMetadata, self._receive_clock)
             self._open[address] = channel
         return self._open[address]
 
     def drop(self, address: str, failed: Channel | None = None) -> None:
-        """Forget a channel that went silent; the next call opens a new one.
+        """Close an unresponsive channel; the next call opens a new one.
 
-        With ``failed`` only that very channel is dropped: when a connection breaks,
-        each of its streams reports it, and the second report would otherwise close
-        the new connection on which the first stream already goes on.
+        With ``failed``, only that channel is closed: when a connection breaks, each
+        of its streams reports the failure, and the second report would otherwise
+        close the new connection on which the first stream has already resumed.
         """
         if failed is not None and self._open.get(address) is not failed:
             failed.close()
@@ -83,22 +83,24 @@
         for address in list(self._open):
             self.drop(address)
 
-    async def _stamp(self, event: SendRequest) -> None:
-        event.metadata[HLC] = str(self.clock.last)
+    async def _send_clock(self, event: SendRequest) -> None:
+        event.metadata[CLOCK_METADATA_KEY] = str(self.clock.last)
 
-    async def _hear(self, event: RecvInitialMetadata | RecvTrailingMetadata) -> None:
-        self.clock.hear(event.metadata.get(HLC))
+    async def _receive_clock(
+        self, event: RecvInitialMetadata | RecvTrailingMetadata
+    ) -> None:
+        self.clock.hear(event.metadata.get(CLOCK_METADATA_KEY))
 
 
 def observe_clock(server: Server, clock: Clock) -> None:
-    """Exchange stamps with whoever calls a server: requests and answers bear them."""
+    """Exchange clock stamps with a server's clients in requests and responses."""
 
-    async def hear(event: RecvRequest) -> None:
-        clock.hear(event.metadata.get(HLC))
+    async def receive_clock(event: RecvRequest) -> None:
+        clock.hear(event.metadata.get(CLOCK_METADATA_KEY))
 
-    async def stamp(event: SendInitialMetadata | SendTrailingMetadata) -> None:
-        event.metadata[HLC] = str(clock.last)
+    async def send_clock(event: SendInitialMetadata | SendTrailingMetadata) -> None:
+        event.metadata[CLOCK_METADATA_KEY] = str(clock.last)
 
-    listen(server, RecvRequest, hear)
-    listen(server, SendInitialMetadata, stamp)
-    listen(server, SendTrailingMetadata, stamp)
+    listen(server, RecvRequest, receive_clock)
+    listen(server, SendInitialMetadata, send_clock)
+    listen(server, SendTrailingMetadata, send_clock)
--- a/packages/wasabideck_base/wasabideck_base/claim_rows.py
+++ b/packages/wasabideck_base/wasabideck_base/claim_rows.py
@@ -1,4 +1,4 @@
-"""Rows of claims in the platform's table, as agents and entries read and write them."""
+"""Rows of claims in the platform's table, read and written by agents and entries."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 async def read_claim(table: Table, organisation: str, key: str) -> Claim | None:
-    """The claim of a key, or None; raises ``PlatformUnavailable``."""
+    """Return the claim of a key, or None; raises ``PlatformUnavailable``."""
     row = await table.get(CLAIMS, claim_key(organisation, key))
     return None if row is None else Claim(**row)
 
 
 def claim_write(found: Claim | None, row: Claim) -> tuple[Check, Write]:
-    """Condition and write that put a row in the place of exactly the one found."""
+    """Return the check and the write that replace exactly the row that was found."""
     key = claim_key(row.organisation, row.key)
-    held = None
+    expected = None
     if found is not None:
-        held = {"attempt": found.attempt, "state": found.state, "draw": found.draw}
+        expected = {"attempt": found.attempt, "state": found.state, "draw": found.draw}
     write = Write(CLAIMS, key, asdict(following(found, row)))
-    return Check(CLAIMS, key, held), write
+    return Check(CLAIMS, key, expected), write
 
 
 def stored_answer(claim: Claim) -> bytes:
-    """Answer that a finished claim keeps."""
+    """Return the response that is stored in a finished claim."""
     return base64.b64decode(claim.answer)
--- a/packages/wasabideck_base/wasabideck_base/deployment.py
+++ b/packages/wasabideck_base/wasabideck_base/deployment.py
@@ -1,4 +1,4 @@
-"""What an adapter gives the product to run on a deployment."""
+"""Interface that an adapter implements to run the product on a deployment."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     Attributes
     ----------
     read_settings : callable
-        This process's settings as they are now; raises a typed error.
+        Reads the current settings of this process; raises a ``WasabideckError``.
     operators, servers : str
-        Tables of the operators' declarations and of the servers' entries.
+        Names of the tables of the operators' declarations and of the servers.
     declaration_of, listed_of, read_configuration : callable
-        Decode rows; each raises a typed error for what it cannot read.
+        Decode rows; each raises a ``WasabideckError`` for a row that it cannot decode.
     open_store : callable
-        Client of the store of rows.
+        Returns a client of the store of rows.
     wire : object
-        How heads of requests and answers are read and written.
+        Parses and formats the heads of requests and responses.
     open_engine, open_origin : callable
-        Clients of the engine beside an agent, and of the origin of weights.
+        Return clients of an agent's engine and of the origin of weights.
     """
 
     read_settings: Callable[[], NodeSettings]
--- a/packages/wasabideck_base/wasabideck_base/engine_datagrams.py
+++ b/packages/wasabideck_base/wasabideck_base/engine_datagrams.py
@@ -1,4 +1,4 @@
-"""Engine news as datagrams between agents and entries; a lost one does no harm."""
+"""Engine reports as UDP datagrams from agents to entries; a lost one does no harm."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 class EngineNewsListener(asyncio.DatagramProtocol):
-    """Takes news from agents; what is none is counted and passed over."""
+    """Receives engine reports from agents; counts and ignores malformed datagrams."""
 
-    def __init__(self, took: Callable[[EngineNews], None]):
-        self._took = took
-        self.malformed = 0
+    def __init__(self, on_report: Callable[[EngineNews], None]):
+        self._on_report = on_report
+        self.malformed_count = 0
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        """Decode one datagram."""
+        """Decode one datagram and pass it on."""
         message = pb.EngineNews()
         try:
             message.ParseFromString(data)
         except DecodeError:
-            self.malformed += 1
+            self.malformed_count += 1
             return
-        self._took(
+        self._on_report(
             EngineNews(
                 address=message.address,
                 version=message.version,
@@ -44,28 +44,28 @@
 
 
 class EngineNewsSender(asyncio.DatagramProtocol):
-    """Sends news to entries."""
+    """Sends engine reports to entries."""
 
     def __init__(self) -> None:
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
-    def send(self, news: EngineNews, addresses: Iterable[str]) -> None:
-        """Send news to each address; what cannot be sent is lost."""
+    def send(self, report: EngineNews, addresses: Iterable[str]) -> None:
+        """Send a report to each address; what cannot be sent is lost."""
         if self._transport is None:
             return
         data = pb.EngineNews(
-            address=news.address,
-            version=news.version,
-            serving=news.serving,
-            running=news.running,
-            waiting=news.waiting,
-            ready_in_ms=int(news.ready_in * 1000),
-            named=news.named,
-            pace_percent=int(news.pace * 100),
+            address=report.address,
+            version=report.version,
+            serving=report.serving,
+            running=report.running,
+            waiting=report.waiting,
+            ready_in_ms=int(report.ready_in * 1000),
+            named=report.named,
+            pace_percent=int(report.pace * 100),
         ).SerializeToString()
         for address in addresses:
             self._transport.sendto(data, split_address(address))
--- a/packages/wasabideck_base/wasabideck_base/inner_limits.py
+++ b/packages/wasabideck_base/wasabideck_base/inner_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the inner protocol, kept before anything is buffered."""
+"""Limits of the inner protocol, enforced before anything is buffered."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from grpclib.server import Server
 from h2.settings import SettingCodes
 
-__all__ = ["MOST_MESSAGE", "MOST_STREAMS", "InnerChannel", "InnerServer"]
+__all__ = ["MAX_MESSAGE_BYTES", "MAX_CONCURRENT_STREAMS", "InnerChannel", "InnerServer"]
 
 M = TypeVar("M")
 
-# One whole ticket state at the target size is well under a megabyte, a part of a
-# chunk is 256 KiB, and a caller's body is limited by the entry's settings.
-MOST_MESSAGE = 8 << 20
-# An entry has one connection to an agent, and one stream for each request on it.
-MOST_STREAMS = 1000
+# A whole ticket state at the target size takes well under a megabyte, a part of a
+# chunk is 256 KiB, and the size of a caller's body is limited by the entry's settings.
+MAX_MESSAGE_BYTES = 8 << 20
+# An entry opens one connection to each agent, with one stream for each request.
+MAX_CONCURRENT_STREAMS = 1000
 
 
-class _Codec(ProtoCodec):
-    """Protobuf, with a typed refusal of bytes that are none."""
+class _ValidatingCodec(ProtoCodec):
+    """Protobuf codec that reports malformed bytes as a ``GRPCError``."""
 
     def decode(self, data: bytes, message_type: type[M]) -> M:
         try:
@@ -37,59 +37,59 @@
 
 
 class InnerServer(Server):
-    """A grpclib server that refuses what is too big, too many or malformed."""
+    """A grpclib server that rejects large or malformed messages and excess streams."""
 
     def __init__(self, handlers: list):
-        super().__init__(handlers, codec=_Codec())
+        super().__init__(handlers, codec=_ValidatingCodec())
 
     def _protocol_factory(self) -> H2Protocol:
-        return _limited(super()._protocol_factory())
+        return _with_limits(super()._protocol_factory())
 
 
 class InnerChannel(Channel):
-    """A grpclib channel that refuses what is too big or malformed.
+    """A grpclib channel that rejects large or malformed messages.
 
     Parameters
     ----------
-    window : int
-        Bytes of one answer that a peer may have under way before this side has read
-        them; 0 for the library's own, which is megabytes.
+    window_bytes : int
+        Flow-control window: bytes of one response that a peer may send before this
+        side has read them; 0 for the library's default, which is megabytes.
     """
 
-    def __init__(self, host: str, port: int, ssl: object, window: int = 0):
-        super().__init__(host, port, ssl=ssl, codec=_Codec())
-        self._window = window
+    def __init__(self, host: str, port: int, ssl: object, window_bytes: int = 0):
+        super().__init__(host, port, ssl=ssl, codec=_ValidatingCodec())
+        self._window_bytes = window_bytes
 
     def _protocol_factory(self) -> H2Protocol:
-        return _limited(super()._protocol_factory(), self._window)
+        return _with_limits(super()._protocol_factory(), self._window_bytes)
 
 
-def _limited(protocol: H2Protocol, window: int = 0) -> H2Protocol:
-    """The protocol, with limits on each of its streams.
+def _with_limits(protocol: H2Protocol, window_bytes: int = 0) -> H2Protocol:
+    """Add limits to each stream of a protocol, and return the protocol.
 
-    grpclib itself believes the length that a message is announced with, and goes
-    on to acknowledge and keep its bytes: one peer could fill this process.
+    grpclib itself trusts the announced length of a message, and acknowledges and
+    buffers its bytes: one peer could exhaust the memory of this process.
     """
-    made = protocol.connection_made
+    original_connection_made = protocol.connection_made
 
     def connection_made(transport: object) -> None:
-        made(transport)
+        original_connection_made(transport)
         connection = protocol.connection
-        create = connection.create_stream
+        original_create_stream = connection.create_stream
 
         def create_stream(**options: object) -> object:
-            # Another call on this connection may have dropped it since it was made;
-            # grpclib then fails with an AttributeError, which no caller expects.
+            # Another call may have closed this connection since it was established.
+            # grpclib would raise an AttributeError, which no caller expects.
             if connection.is_closing():
-                raise StreamTerminatedError("the connection was closed meanwhile")
-            stream = create(**options)
-            stream.recv_data = _bounded(stream.recv_data)
+                raise StreamTerminatedError("the connection was closed by another call")
+            stream = original_create_stream(**options)
+            stream.recv_data = _with_size_limit(stream.recv_data)
             return stream
 
         connection.create_stream = create_stream
-        settings = {SettingCodes.MAX_CONCURRENT_STREAMS: MOST_STREAMS}
-        if window:
-            settings[SettingCodes.INITIAL_WINDOW_SIZE] = window
+        settings = {SettingCodes.MAX_CONCURRENT_STREAMS: MAX_CONCURRENT_STREAMS}
+        if window_bytes:
+            settings[SettingCodes.INITIAL_WINDOW_SIZE] = window_bytes
         connection._connection.update_settings(settings)
         connection.flush()
 
@@ -97,17 +97,17 @@
     return protocol
 
 
-def _bounded(
+def _with_size_limit(
     receive: Callable[[int], Awaitable[bytes]],
 ) -> Callable[[int], Awaitable[bytes]]:
-    async def bounded(size: int) -> bytes:
-        if size > MOST_MESSAGE:
-            why = f"{size} bytes, {MOST_MESSAGE} at most"
+    async def receive_limited(size: int) -> bytes:
+        if size > MAX_MESSAGE_BYTES:
+            why = f"{size} bytes, {MAX_MESSAGE_BYTES} at most"
             raise GRPCError(Status.RESOURCE_EXHAUSTED, why)
         try:
             return await receive(size)
         except AssertionError as exc:
-            # How grpclib says that a stream ended within a message.
+            # grpclib raises it when a stream ends within a message.
             raise StreamTerminatedError(str(exc)) from None
 
-    return bounded
+    return receive_limited
--- a/packages/wasabideck_base/wasabideck_base/member_rows.py
+++ b/packages/wasabideck_base/wasabideck_base/member_rows.py
@@ -1,4 +1,4 @@
-"""Rows by which the system's own processes find each other in the store."""
+"""Rows in the store by which the system's own processes discover each other."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MalformedMember(WasabideckError):
-    """A row of the table of members that names none."""
+    """A row of the table of members cannot be parsed as a member."""
 
     def __init__(self, key: str, why: str):
         super().__init__(f"{MEMBERS}/{key}: {why}")
@@ -23,12 +23,12 @@
 
 
 def member_row(member: Member) -> RowWrite:
-    """The row that tells of a process."""
+    """Return the row that describes a process."""
     return RowWrite(MEMBERS, member.vm, orjson.dumps(asdict(member)))
 
 
 def member_of(row: Row) -> Member:
-    """The process that a row tells of; raises ``MalformedMember``."""
+    """Return the process that a row describes; raises ``MalformedMember``."""
     try:
         return Member(**orjson.loads(row.value))
     except (TypeError, ValueError) as exc:
--- a/packages/wasabideck_base/wasabideck_base/members.py
+++ b/packages/wasabideck_base/wasabideck_base/members.py
@@ -1,4 +1,4 @@
-"""Client of the platform's lagging list of live and leaving VMs."""
+"""Client of the platform's list of live and draining VMs, which lags behind."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 
 __all__ = ["Members"]
 
-PATH = "/v1/members"
-BYTES_PER_SECOND = 3000.0
+MEMBERS_PATH = "/v1/members"
+READ_BYTES_PER_SECOND = 3000.0
 
 
 @define
 class Members:
-    """Reads the list, within a budget; it may be many seconds old.
+    """Reads the list within a bandwidth budget; the list may be many seconds old.
 
-    At 1,800 VMs a whole list a second would be 250 KB/s for every process. So the
-    list is asked for by its tag, and the size of a changed list decides how soon
-    the next one may be read.
+    With 1,800 VMs, reading the whole list once a second would cost every process
+    250 KB/s. So requests are conditional on the list's entity tag, and the size of
+    a changed list determines how long the next read is delayed.
 
     Attributes
     ----------
     bytes_per_second : float
-        What reading the list may cost, over time.
+        Maximum average bandwidth for reading the list.
     """
 
     http: HttpClient
-    bytes_per_second: float = BYTES_PER_SECOND
-    _listed: list[Member] = field(factory=list)
-    _tag: str = ""
-    _next_at: float = 0.0
+    bytes_per_second: float = READ_BYTES_PER_SECOND
+    _members: list[Member] = field(factory=list)
+    _etag: str = ""
+    _next_read_at: float = 0.0
 
     async def read(self, now: float) -> list[Member]:
-        """All VMs that the platform takes for live, as last read.
+        """Return all VMs that the platform lists as live, as last read.
 
         Parameters
         ----------
@@ -46,17 +46,19 @@
         Raises
         ------
         PlatformUnavailable
-            The list cannot be read now; the caller keeps what it has.
+            The list cannot be read now; the caller keeps its last list.
         """
-        if now < self._next_at:
-            return self._listed
-        changed = await self.http.get_if_changed(PATH, self._tag)
+        if now < self._next_read_at:
+            return self._members
+        changed = await self.http.get_if_changed(MEMBERS_PATH, self._etag)
         if changed:
-            self._listed = understood(f"{self.http.base}{PATH}", changed.body, _listed)
-            self._tag = changed.tag
-            self._next_at = now + changed.wire_bytes / self.bytes_per_second
-        return self._listed
+            self._members = understood(
+                f"{self.http.base}{MEMBERS_PATH}", changed.body, _parse_members
+            )
+            self._etag = changed.tag
+            self._next_read_at = now + changed.wire_bytes / self.bytes_per_second
+        return self._members
 
 
-def _listed(body: bytes) -> list[Member]:
+def _parse_members(body: bytes) -> list[Member]:
     return [Member(**row) for row in orjson.loads(body)]
--- a/packages/wasabideck_base/wasabideck_base/node.py
+++ b/packages/wasabideck_base/wasabideck_base/node.py
@@ -1,4 +1,4 @@
-"""Settings of a process that is told its place by whoever runs the machines."""
+"""Settings that a process receives from the platform that runs its VM."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @frozen
 class NodeBounds:
-    """Bounds that the deployment sets, in seconds where not said otherwise.
+    """Limits that the deployment sets, in seconds unless stated otherwise.
 
     Attributes
     ----------
     stable : float
-        How long a VM counts as disturbed after a disturbance has ended.
+        Time for which a VM counts as disturbed after a disturbance has ended.
     drain : float
-        How long a leaving server may still get requests.
+        Time during which a server that is shutting down may still receive requests.
     grace : float
-        Time between the signal to stop and the end.
+        Time between the signal to stop and the forced end of the process.
     configuration, version : float
-        Until when a configuration, or named weights, have to be in force.
+        Time until a configuration, or declared weights, must be in effect.
     retry_ratio, retry_slack, retry_window : float
-        Repeats that one request earns, that all entries together may make beside
-        that, and the window in which both are counted.
+        Retry budget: retries that each request allows, retries that all entries
+        together may make in addition, and the window in which both are counted.
     """
 
     stable: float = 3.0
@@ -43,9 +43,9 @@
     Attributes
     ----------
     history : float
-        Seconds for which it remembers changes.
+        Seconds for which it keeps the history of changes.
     row_bytes : int
-        Most bytes of one row.
+        Maximum size of one row in bytes.
     """
 
     address: str
@@ -55,24 +55,25 @@
 
 @frozen
 class NodeSettings:
-    """Where one process runs, what it listens on, and what stands around it.
+    """Where one process runs, which addresses it listens on, and what it works with.
 
     Attributes
     ----------
     regions : dict of str to str
-        Region of each data centre.
+        Region by data centre.
     front, ready : str
-        Addresses for callers and for the balancer's checks; empty on agents.
+        Addresses for callers and for the load balancer's health checks; empty on
+        agents.
     inner_port : int
         Port of the inner protocol, the same on all VMs.
     seeds : tuple of str
-        Addresses of a few VMs to ask when nothing else is known.
+        Addresses of a few VMs that are queried when no other process is known.
     link_rate : float
-        Bytes a second of the VM's link, each way.
+        Bandwidth of the VM's link in each direction, in bytes per second.
     server_address, service : str
-        The backend server beside an agent, and its service.
+        Address of the backend server beside an agent, and its service.
     heartbeat : float
-        Seconds between two words of a backend server to the store.
+        Seconds between two heartbeats of a backend server to the store.
     """
 
     vm: str
@@ -93,10 +94,10 @@
 
     @property
     def inner_address(self) -> str:
-        """Address of this process for the inner protocol."""
+        """Return the address of this process for the inner protocol."""
         return f"{self.ip}:{self.inner_port}"
 
     def inner_seeds(self) -> list[str]:
-        """Addresses of the seeds for the inner protocol, this VM left out."""
+        """Return the seeds' addresses for the inner protocol, without this VM."""
         ips = (seed.rpartition(":")[0] for seed in self.seeds)
         return [f"{ip}:{self.inner_port}" for ip in ips if ip and ip != self.ip]
--- a/packages/wasabideck_base/wasabideck_base/node_process.py
+++ b/packages/wasabideck_base/wasabideck_base/node_process.py
@@ -1,4 +1,4 @@
-"""What the processes on a node share: connections, log, inner protocol, signals."""
+"""What all processes on a VM share: connections, log, inner protocol, signals."""
 
 from __future__ import annotations
 
@@ -29,26 +29,27 @@
 
 __all__ = ["NodeProcess", "node_process"]
 
-# Bytes of one answer of the inner protocol that may be under way. Chunks leave a VM
-# over the link that carries its server's streams, and what is under way waits in that
-# link's queue, with the streams' events behind it. With whole chunks of 24 KB under way
-# 43 and 46 in 100 of the drafts begun during a rollout had an event over 120 ms late,
-# with 4 KB 1 to 5 in 100. It also follows a link's real rate, whatever the nominal one.
+# Flow-control window in bytes of one response of the inner protocol. Chunks are sent
+# over the same link as the streams of the VM's server: bytes in flight wait in that
+# link's queue, and the events of the streams wait behind them. With whole chunks of
+# 24 KB in flight, 43 and 46 in 100 of the drafts that started during a rollout had an
+# event over 120 ms late; with 4 KB, 1 to 5 in 100. The window also adapts the transfer
+# to the link's real rate, whatever its nominal rate.
 ANSWER_WINDOW = 4096
-# Ports of the metrics; two programs on one VM need two.
+# Ports of the metrics endpoints; an entry and an agent on one VM need different ones.
 METRICS_PORTS = {ENTRY: 9464, AGENT: 9465}
 
 
 @define
 class NodeProcess:
-    """What a process on a node has to work with.
+    """Resources that a running process uses.
 
     Attributes
     ----------
     stop : Event
-        Set when the process has to end.
+        Set when the process must terminate.
     failed : bool
-        Whether it ends because one of its loops failed.
+        Whether it terminates because one of its loops failed.
     """
 
     cfg: NodeSettings
@@ -62,17 +63,18 @@
     failed: bool = False
     on_reload: list[Callable[[NodeSettings], None]] = field(factory=list)
 
-    def keep(self, step: Coroutine) -> asyncio.Task:
-        """Run what has to run for as long as the process does.
+    def keep(self, coroutine: Coroutine) -> asyncio.Task:
+        """Run a loop for the lifetime of the process.
 
-        A loop that fails ends the process, which starts anew, whole: what it kept
-        true, such as which requests wait where, would silently be so no more.
+        A loop that fails terminates the process, which is then restarted as a whole:
+        otherwise the state that the loop maintains, such as which requests wait
+        where, would silently become wrong.
         """
-        task = asyncio.create_task(step)
-        task.add_done_callback(self._ended)
+        task = asyncio.create_task(coroutine)
+        task.add_done_callback(self._on_loop_done)
         return task
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _on_loop_done(self, task: asyncio.Task) -> None:
         if not task.cancelled() and task.exception() is not None:
             self.events.emit("loop.failed", why=repr(task.exception()))
             self.failed = True
@@ -83,31 +85,31 @@
 async def node_process(
     cfg: NodeSettings, kind: str, deployment: Deployment, services: Callable
 ) -> AsyncIterator[NodeProcess]:
-    """Everything that a process on a node shares, running until the block ends.
+    """Run everything that the processes on a VM share until the block ends.
 
     Parameters
     ----------
     services : callable
-        Given the process, the further services of its inner protocol.
+        Returns, for a process, the additional services of its inner protocol.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    # From the first moment on: a signal that nothing handles ends the process.
-    reload = asyncio.Event()
-    loop.add_signal_handler(signal.SIGHUP, reload.set)
+    # Handled from the start, because an unhandled SIGHUP terminates the process.
+    reload_requested = asyncio.Event()
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     events = _open_log(cfg.vm)
-    # Seeded by the name, so that two processes never draw alike.
+    # Seeded with the VM's name, process id and time: no two processes draw alike.
     rng = random.Random(f"{cfg.vm}/{os.getpid()}/{time.monotonic_ns()}")
     channels = Channels(events.clock, window=ANSWER_WINDOW)
-    me = Member(
+    own_member = Member(
         cfg.vm, kind, cfg.inner_address, cfg.region, cfg.data_centre, cfg.service
     )
     async with HttpPool() as pool:
         store = deployment.open_store(pool, cfg)
         believer = Believer(
-            cfg, me, deployment, store, channels, events, loop.time, rng
+            cfg, own_member, deployment, store, channels, events, loop.time, rng
         )
         process = NodeProcess(
             cfg, events, pool, channels, believer, loop.time, rng, stop
@@ -117,9 +119,11 @@
         await inner.start(cfg.ip, cfg.inner_port)
         metrics = NodeMetrics()
         events.listeners.append(metrics.count)
-        scrapes = await listen_for_scrapes(metrics, cfg.ip, METRICS_PORTS[kind], events)
-        steps = [*believer.loops(), _keep_reloading(process, deployment, reload)]
-        tasks = [process.keep(step) for step in steps]
+        metrics_server = await listen_for_scrapes(
+            metrics, cfg.ip, METRICS_PORTS[kind], events
+        )
+        loops = [*believer.loops(), _run_reloads(process, deployment, reload_requested)]
+        tasks = [process.keep(coroutine) for coroutine in loops]
         events.emit("process.ready", kind=kind, address=cfg.inner_address)
         try:
             yield process
@@ -127,19 +131,19 @@
             for task in tasks:
                 task.cancel()
             inner.close()
-            if scrapes is not None:
-                scrapes.close()
+            if metrics_server is not None:
+                metrics_server.close()
             channels.close()
             events.emit("process.stopped", kind=kind)
 
 
-async def _keep_reloading(
-    process: NodeProcess, deployment: Deployment, reload: asyncio.Event
+async def _run_reloads(
+    process: NodeProcess, deployment: Deployment, reload_requested: asyncio.Event
 ) -> None:
-    """Take changed settings in; settings that cannot be read change nothing."""
+    """Apply changed settings on request; settings that cannot be read are ignored."""
     while True:
-        await reload.wait()
-        reload.clear()
+        await reload_requested.wait()
+        reload_requested.clear()
         try:
             process.cfg = deployment.read_settings()
         except WasabideckError as exc:
--- a/packages/wasabideck_base/wasabideck_base/packing.py
+++ b/packages/wasabideck_base/wasabideck_base/packing.py
@@ -1,4 +1,4 @@
-"""Contents of declarations, compressed between the system's own processes."""
+"""Compression of declaration contents that the system's own processes exchange."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 
 __all__ = ["MOST_CONTENT_BYTES", "MalformedContent", "packed", "unpacked"]
 
-# Speed counts: entries pack a new configuration while callers wait.
-LEVEL = 1
-# As much as one message of the inner protocol may bear.
+# The fastest level: entries compress a new configuration while callers wait.
+COMPRESSION_LEVEL = 1
+# Equal to the maximum size of one message of the inner protocol.
 MOST_CONTENT_BYTES = 8 << 20
-# The newest configuration is told to many peers, and a former one meanwhile.
-KEPT = 4
+# Several compressed contents are cached: the newest configuration is sent to many
+# peers, and an earlier one may still be sent meanwhile.
+MAX_CACHED_CONTENTS = 4
 
 
 class MalformedContent(WasabideckError):
-    """Bytes that are no packed content, or too much of it."""
+    """The bytes are not a compressed content, or the content is too large."""
 
     def __init__(self, key: str, why: str):
         super().__init__(f"{key}: {why}")
         self.key = key
 
 
-@lru_cache(KEPT)
+@lru_cache(MAX_CACHED_CONTENTS)
 def packed(content: bytes) -> bytes:
-    """The content, compressed."""
-    return zlib.compress(content, LEVEL)
+    """Return the content compressed."""
+    return zlib.compress(content, COMPRESSION_LEVEL)
 
 
 def unpacked(key: str, data: bytes) -> bytes:
-    """What was packed; raises ``MalformedContent``."""
-    inflater = zlib.decompressobj()
+    """Return the decompressed content; raises ``MalformedContent``."""
+    decompressor = zlib.decompressobj()
     try:
-        content = inflater.decompress(data, MOST_CONTENT_BYTES)
+        content = decompressor.decompress(data, MOST_CONTENT_BYTES)
     except zlib.error as exc:
         raise MalformedContent(key, str(exc)) from exc
-    if not inflater.eof:
-        why = "too large" if inflater.unconsumed_tail else "cut short"
+    if not decompressor.eof:
+        why = "too large" if decompressor.unconsumed_tail else "data is truncated"
         raise MalformedContent(key, why)
     return content
--- a/packages/wasabideck_base/wasabideck_base/rows.py
+++ b/packages/wasabideck_base/wasabideck_base/rows.py
@@ -1,4 +1,4 @@
-"""Rows of a store that keeps tables: what is read, followed and written."""
+"""Interface of a store of rows in tables: reading, watching and writing."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 
 class HistoryLost(WasabideckError):
-    """The store no longer knows what changed after a version."""
+    """The store no longer keeps the changes after a version."""
 
     status = 503
 
     def __init__(self, table: str, after: int):
-        super().__init__(f"{table}: history after {after} is gone")
+        super().__init__(f"{table}: changes after version {after} are no longer stored")
         self.table = table
         self.after = after
 
 
 class WriteConflict(WasabideckError):
-    """A row was not as a write expected it; nothing was written."""
+    """A row differed from what a write expected; nothing was written."""
 
     status = 409
 
 
 @frozen
 class Row:
-    """One row as it was read, or word of its removal.
+    """One row as it was read, or the record of its removal.
 
     Attributes
     ----------
     version : int
-        Grows with each change in the store.
+        Version of the store when the row changed; increases with each change.
     """
 
     table: str
@@ -47,7 +47,7 @@
 
 @frozen
 class RowWrite:
-    """A row to put."""
+    """A row to write."""
 
     table: str
     key: str
@@ -56,13 +56,13 @@
 
 @frozen
 class Changes:
-    """Rows, and the store's version that they bring a reader to.
+    """Rows, and the store's version that a reader has reached after applying them.
 
     Attributes
     ----------
     answered_at : float or None
-        When the store answered, seconds by its own steady clock, the last time if it
-        took several calls; None when not told.
+        Time of the store's response in seconds of the store's own monotonic clock;
+        of the last response if several calls were needed. None if not reported.
     """
 
     rows: tuple[Row, ...]
@@ -71,18 +71,18 @@
 
 
 class RowStore(Protocol):
-    """What the product asks of a store of rows."""
+    """What the product requires of a store of rows."""
 
     async def read(self, table: str) -> Changes:
-        """All rows of a table."""
+        """Return all rows of a table."""
 
     async def follow(self, table: str, after: int, wait: float) -> Changes:
-        """Changes after a version; raises ``HistoryLost``."""
+        """Wait for and return changes after a version; raises ``HistoryLost``."""
 
     def received(self, table: str) -> int:
-        """Bytes of answers about a table that have come so far."""
+        """Return the number of response bytes received so far for a table."""
 
     async def write(
         self, writes: Iterable[RowWrite], expected: Iterable[Row] = ()
     ) -> None:
-        """Put rows, all or none; raises ``WriteConflict``."""
+        """Write all rows or none; raises ``WriteConflict``."""
--- a/packages/wasabideck_base/wasabideck_base/table.py
+++ b/packages/wasabideck_base/wasabideck_base/table.py
@@ -25,7 +25,7 @@
 
 @frozen
 class Write:
-    """A row put by a transaction."""
+    """A row that a transaction writes."""
 
     table: str
     key: str
@@ -34,7 +34,7 @@
 
 @frozen
 class CheckFailed:
-    """A transaction was not carried out; the row that stood against it."""
+    """The check for which a transaction was not executed, and the row found."""
 
     check: Check
     found: dict | None
@@ -42,33 +42,34 @@
 
 @define
 class Table:
-    """Rows of JSON by table and key."""
+    """Rows of JSON objects, identified by table and key."""
 
     http: HttpClient
 
     async def get(self, table: str, key: str) -> dict | None:
-        """One row, or None."""
+        """Return one row, or None."""
         params = {"key": key}
         rows = await self.http.json("GET", f"/v1/tables/{table}", params=params)
-        return understood(table, rows, _only)
+        return understood(table, rows, _first_row)
 
     async def scan(
         self, table: str, prefix: str = "", above: int = -1
     ) -> list[tuple[str, dict]]:
-        """Rows whose key has the prefix and whose ``sequence`` is above a number."""
+        """Return the rows with a key prefix and a ``sequence`` above a number."""
         params = {"prefix": prefix, "above": str(above)}
         rows = await self.http.json("GET", f"/v1/tables/{table}", params=params)
-        return understood(table, rows, _pairs)
+        return understood(table, rows, _parse_rows)
 
     async def transact(
         self, checks: Sequence[Check], writes: Sequence[Write]
     ) -> CheckFailed | None:
-        """Carry out all writes if all checks hold; None when done.
+        """Execute all writes if all checks hold; return None if executed.
 
         Raises
         ------
         PlatformUnavailable
-            No answer; its ``maybe_applied`` tells whether the writes may stand.
+            No response; ``maybe_applied`` says whether the writes may have been
+            executed.
         """
         body = {
             "checks": [[c.table, c.key, c.expected] for c in checks],
@@ -81,24 +82,25 @@
         except PlatformRefused as exc:
             if exc.answer_status < 500:
                 raise
-            # An error in front of the table says nothing of what happened behind.
+            # The error may come from a proxy in front of the table: the table may
+            # have executed the transaction nevertheless.
             raise PlatformUnavailable(exc.url, str(exc), maybe_applied=True) from exc
         if status == 200:
             return None
-        return understood("transact", data, partial(_check_failed, checks))
+        return understood("transact", data, partial(_parse_failed_check, checks))
 
 
-def _only(rows: list) -> dict | None:
-    return _pairs(rows)[0][1] if rows else None
+def _first_row(rows: list) -> dict | None:
+    return _parse_rows(rows)[0][1] if rows else None
 
 
-def _pairs(rows: list) -> list[tuple[str, dict]]:
+def _parse_rows(rows: list) -> list[tuple[str, dict]]:
     pairs = [(key, row) for key, row in rows]
     if not all(type(key) is str and type(row) is dict for key, row in pairs):
-        raise TypeError("rows of JSON needed")
+        raise TypeError("expected rows of JSON objects with string keys")
     return pairs
 
 
-def _check_failed(checks: Sequence[Check], data: bytes) -> CheckFailed:
-    answer = orjson.loads(data)
-    return CheckFailed(checks[answer["failed"]], answer["row"])
+def _parse_failed_check(checks: Sequence[Check], data: bytes) -> CheckFailed:
+    response = orjson.loads(data)
+    return CheckFailed(checks[response["failed"]], response["row"])
--- a/packages/wasabideck_base/wasabideck_base/ticket_store.py
+++ b/packages/wasabideck_base/wasabideck_base/ticket_store.py
@@ -1,4 +1,4 @@
-"""Tickets in the platform's table: acceptance in one conditional transaction."""
+"""Tickets in the platform's table, accepted by one conditional transaction each."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 ]
 
 HEAD = "head"
-TICKETS = "tickets"
-STATE = "state"
-MOST_RACES = 50
-READS_AT_ONCE = 32
+TICKETS_TABLE = "tickets"
+STATE_TABLE = "state"
+MAX_RACES = 50
+MAX_CONCURRENT_READS = 32
 
 
 class TicketUnknown(WasabideckError):
-    """Nobody can say yet whether the ticket was accepted; submit it again."""
+    """It is not known whether the ticket was accepted; submit it again."""
 
     status = 503
     retry_after = 2.0
@@ -52,26 +52,26 @@
 
 
 class TicketRaced(WasabideckError):
-    """Others were first each time; certainly not accepted, submit it again."""
+    """The ticket lost all races to others and was not accepted; submit it again."""
 
     status = 503
     retry_after = 1.0
 
     def __init__(self, number: int):
-        super().__init__(f"ticket {number}: {MOST_RACES} races lost to other tickets")
+        super().__init__(f"ticket {number}: lost {MAX_RACES} races to other tickets")
         self.number = number
 
 
 @frozen
 class Accepted:
-    """A ticket stands in the table.
+    """An accepted ticket, as the table holds it.
 
     Attributes
     ----------
     sequence : int
-        Its place in the order of acceptance.
+        Its position in the order of acceptance.
     again : bool
-        Whether it had been accepted before this submission.
+        Whether it was accepted by an earlier submission.
     """
 
     ticket: Ticket
@@ -81,14 +81,14 @@
 
 @frozen
 class Head:
-    """The row that every acceptance moves.
+    """The head row, which every acceptance updates.
 
     Attributes
     ----------
     sequence : int
-        Grows with every acceptance and with every fence.
+        Increases with every acceptance and every fencing write.
     newest : int
-        Place of the newest accepted ticket; 0 before the first.
+        Sequence of the newest accepted ticket; 0 before the first.
     """
 
     sequence: int = 0
@@ -98,125 +98,135 @@
 async def accept_ticket(
     table: Table, ticket: Ticket, operator: str, now: float
 ) -> Accepted:
-    """Accept a ticket, or find it accepted already.
+    """Accept a ticket, or return it as accepted earlier.
 
     Raises
     ------
     TicketConflict
-        The number is taken by other content.
+        A ticket with this number and other content is accepted already.
     TicketSuperseded
-        A later ticket holds something that this one touches.
+        A later ticket already changed something that this one changes.
     TicketUnknown
-        The table's answer was lost and could not be read back.
+        The table's response was lost, and the result could not be read back.
     TicketRaced, PlatformUnavailable
-        Others were always first, or the table is down; certainly nothing was
-        accepted.
+        The ticket lost every race against others, or the table is down. In both
+        cases it was certainly not accepted.
     """
     ticket = evolve(ticket, operator=operator, accepted_at=now)
-    doubt: PlatformUnavailable | None = None
-    for _ in range(MOST_RACES):
-        found = await _look(table, ticket, doubt)
+    lost_write: PlatformUnavailable | None = None
+    for _ in range(MAX_RACES):
+        found = await _read_decision_state(table, ticket, lost_write)
         if isinstance(found, Accepted):
             return found
         head, holders = found
         try:
-            failed = await table.transact(*_acceptance(ticket, head, holders))
+            failed = await table.transact(
+                *_acceptance_transaction(ticket, head, holders)
+            )
         except PlatformUnavailable as exc:
             if not exc.maybe_applied:
                 raise
-            # The answer was lost after the write may have taken effect, or it may
-            # take effect later. Once the head has moved, its check on the head
-            # fails for ever, so what the next round reads is final.
-            doubt = None if await _fence(table, head, ticket, exc) else exc
+            # The response was lost: the write may have taken effect, or may still
+            # take effect later. Once the head has been advanced, the write's check
+            # of the head fails for ever, so what the next iteration reads is final.
+            lost_write = None if await _fence(table, head, ticket, exc) else exc
             continue
         if failed is None:
             return Accepted(ticket, head.sequence + 1)
-        if failed.check.table == TICKETS and failed.found:
-            return _judge(failed.found, ticket)
-        doubt = None
-    if doubt:
-        raise TicketUnknown(ticket.number, str(doubt)) from doubt
+        if failed.check.table == TICKETS_TABLE and failed.found:
+            return _accepted_from_row(failed.found, ticket)
+        lost_write = None
+    if lost_write:
+        raise TicketUnknown(ticket.number, str(lost_write)) from lost_write
     raise TicketRaced(ticket.number)
 
 
-async def _look(
-    table: Table, ticket: Ticket, doubt: PlatformUnavailable | None
+async def _read_decision_state(
+    table: Table, ticket: Ticket, lost_write: PlatformUnavailable | None
 ) -> Accepted | tuple[Head, dict[Key, int]]:
-    """The ticket if it stands already, else the rows that its acceptance rests on.
+    """Return the ticket if it is accepted, else the rows its acceptance depends on.
 
-    ``doubt`` is the loss of an earlier answer that is not resolved yet.
+    ``lost_write`` is the failure of an earlier write whose result is still unknown.
     """
     try:
         head = await read_head(table)
-        if done := await _already(table, ticket):
-            return evolve(done, again=doubt is None)
-        return head, await _holders(table, ticket)
+        if accepted := await _find_accepted(table, ticket):
+            return evolve(accepted, again=lost_write is None)
+        return head, await _read_holders(table, ticket)
     except PlatformUnavailable as exc:
-        if doubt:
-            raise TicketUnknown(ticket.number, str(exc)) from doubt
-        # Only reads failed: certainly nothing was accepted.
+        if lost_write:
+            raise TicketUnknown(ticket.number, str(exc)) from lost_write
+        # Only reads failed, so the ticket was certainly not accepted.
         raise PlatformUnavailable(exc.url, str(exc), maybe_applied=False) from exc
 
 
 async def settle_ticket(table: Table, number: int) -> Accepted | None:
-    """An accepted ticket, or None when it is certain that it is not accepted.
+    """Return an accepted ticket, or None if it is certain that it isn't accepted.
 
-    An absent row alone proves nothing: a write whose answer was lost may still be
-    on its way. Moving the head first makes any such write fail.
+    An absent row alone proves nothing: a write whose response was lost may still
+    take effect. Advancing the head first makes any such write fail.
 
     Raises
     ------
     TicketUnknown
-        The table is down, or does not let the head be moved.
+        The table is down, or others changed the head before each attempt to
+        advance it.
     """
-    for _ in range(MOST_RACES):
+    for _ in range(MAX_RACES):
         try:
             head = await read_head(table)
             if found := await read_ticket(table, number):
                 return found
-            if await _move(table, head):
+            if await _advance_head(table, head):
                 return None
         except PlatformUnavailable as exc:
             raise TicketUnknown(number, str(exc)) from exc
-    raise TicketUnknown(number, "too many races with other tickets")
+    raise TicketUnknown(number, "lost too many races to other tickets")
 
 
 async def _fence(
-    table: Table, head: Head, ticket: Ticket, lost: PlatformUnavailable
+    table: Table, head: Head, ticket: Ticket, lost_write: PlatformUnavailable
 ) -> bool:
-    """Whether this moved the head: then the lost write never takes effect."""
+    """Advance the head and return True; the lost write can then no longer succeed.
+
+    False if the head has changed already.
+    """
     try:
-        return await _move(table, head)
+        return await _advance_head(table, head)
     except PlatformUnavailable as exc:
-        raise TicketUnknown(ticket.number, str(exc)) from lost
+        raise TicketUnknown(ticket.number, str(exc)) from lost_write
 
 
-async def _move(table: Table, head: Head) -> bool:
-    """Move the head without accepting anything; False when it had moved already."""
-    moved = evolve(head, sequence=head.sequence + 1)
-    return await table.transact([_unmoved(head)], [_head_write(moved)]) is None
+async def _advance_head(table: Table, head: Head) -> bool:
+    """Advance the head without accepting a ticket; False if it has changed already."""
+    advanced = evolve(head, sequence=head.sequence + 1)
+    return (
+        await table.transact([_head_unchanged(head)], [_head_write(advanced)]) is None
+    )
 
 
-async def _already(table: Table, ticket: Ticket) -> Accepted | None:
-    row = await table.get(TICKETS, _row_key(ticket.number))
-    return _judge(row, ticket) if row else None
+async def _find_accepted(table: Table, ticket: Ticket) -> Accepted | None:
+    row = await table.get(TICKETS_TABLE, _row_key(ticket.number))
+    return _accepted_from_row(row, ticket) if row else None
 
 
-def _judge(row: dict, ticket: Ticket) -> Accepted:
-    """The ticket of that number that stands, unless its content is another."""
+def _accepted_from_row(row: dict, ticket: Ticket) -> Accepted:
+    """Return a row's accepted ticket; raises ``TicketConflict`` if contents differ."""
     if row["digest"] != digest_of(ticket):
         raise TicketConflict(ticket.number)
-    return Accepted(_ticket(row), row["sequence"], again=True)
+    return Accepted(_ticket_from_row(row), row["sequence"], again=True)
 
 
-async def _holders(table: Table, ticket: Ticket) -> dict[Key, int]:
-    """Numbers of the tickets that hold what a ticket touches; 0 for none."""
+async def _read_holders(table: Table, ticket: Ticket) -> dict[Key, int]:
+    """Return by key which ticket last changed what a ticket changes; 0 for none."""
     keys = [change.key for change in ticket.changes]
     holders: dict[Key, int] = {}
-    for begin in range(0, len(keys), READS_AT_ONCE):
-        part = keys[begin : begin + READS_AT_ONCE]
-        rows = await asyncio.gather(*(table.get(STATE, str(key)) for key in part))
-        for key, row in zip(part, rows, strict=True):
+    for start in range(0, len(keys), MAX_CONCURRENT_READS):
+        batch = keys[start : start + MAX_CONCURRENT_READS]
+        rows = await asyncio.gather(
+            *(table.get(STATE_TABLE, str(key)) for key in batch)
+        )
+        for key, row in zip(batch, rows, strict=True):
             holders[key] = row["ticket"] if row else 0
     for key, holder in holders.items():
         if holder > ticket.number:
@@ -224,21 +234,27 @@
     return holders
 
 
-def _acceptance(
+def _acceptance_transaction(
     ticket: Ticket, head: Head, holders: dict[Key, int]
 ) -> tuple[list[Check], list[Write]]:
-    """The one transaction that accepts a ticket.
+    """Return the checks and writes of the one transaction that accepts a ticket.
 
-    Every row that the decision rests on is a condition, so a stale read or another
-    operator's ticket in between fails it, and nothing is half accepted.
+    Every row that the decision depends on is a condition. After a stale read, or if
+    another operator's ticket is accepted in between, the transaction fails, and no
+    ticket is accepted in part.
     """
-    checks = [_unmoved(head), Check(TICKETS, _row_key(ticket.number), None)]
+    checks = [
+        _head_unchanged(head),
+        Check(TICKETS_TABLE, _row_key(ticket.number), None),
+    ]
     for key, holder in holders.items():
-        checks.append(Check(STATE, str(key), {"ticket": holder} if holder else None))
-    return checks, _writes(ticket, head.sequence + 1)
+        checks.append(
+            Check(STATE_TABLE, str(key), {"ticket": holder} if holder else None)
+        )
+    return checks, _acceptance_writes(ticket, head.sequence + 1)
 
 
-def _unmoved(head: Head) -> Check:
+def _head_unchanged(head: Head) -> Check:
     return Check(HEAD, HEAD, asdict(head) if head.sequence else None)
 
 
@@ -246,7 +262,7 @@
     return Write(HEAD, HEAD, asdict(head))
 
 
-def _writes(ticket: Ticket, sequence: int) -> list[Write]:
+def _acceptance_writes(ticket: Ticket, sequence: int) -> list[Write]:
     row = {
         "sequence": sequence,
         "digest": digest_of(ticket),
@@ -258,7 +274,7 @@
     }
     writes = [
         _head_write(Head(sequence, sequence)),
-        Write(TICKETS, _row_key(ticket.number), row),
+        Write(TICKETS_TABLE, _row_key(ticket.number), row),
     ]
     for change in ticket.changes:
         state = {
@@ -266,18 +282,18 @@
             "ticket": ticket.number,
             "change": asdict(change),
         }
-        writes.append(Write(STATE, str(change.key), state))
+        writes.append(Write(STATE_TABLE, str(change.key), state))
     return writes
 
 
 async def read_head(table: Table) -> Head:
-    """The head row; zeros before the first acceptance."""
+    """Return the head row; zeros before the first acceptance."""
     row = await table.get(HEAD, HEAD)
     return Head(**row) if row else Head()
 
 
 def assignments_of(accepted: Accepted) -> list[Assignment]:
-    """What an accepted ticket assigns to each thing that it touches."""
+    """Return an assignment for each change of an accepted ticket."""
     ticket = accepted.ticket
     return [
         Assignment(ticket.number, change, accepted.sequence)
@@ -286,8 +302,8 @@
 
 
 async def read_changes(table: Table, above: int) -> list[Assignment]:
-    """Newest change of everything touched after an acceptance."""
-    rows = await table.scan(STATE, above=above)
+    """Return the newest change of each key that changed after a sequence."""
+    rows = await table.scan(STATE_TABLE, above=above)
     return [
         Assignment(row["ticket"], Change(**row["change"]), row["sequence"])
         for _, row in rows
@@ -295,22 +311,22 @@
 
 
 async def read_ticket(table: Table, number: int) -> Accepted | None:
-    """An accepted ticket, or None."""
-    row = await table.get(TICKETS, _row_key(number))
-    return Accepted(_ticket(row), row["sequence"]) if row else None
+    """Return an accepted ticket, or None."""
+    row = await table.get(TICKETS_TABLE, _row_key(number))
+    return Accepted(_ticket_from_row(row), row["sequence"]) if row else None
 
 
 async def list_tickets(table: Table) -> list[Accepted]:
-    """All accepted tickets, by number."""
-    rows = await table.scan(TICKETS)
-    return [Accepted(_ticket(row), row["sequence"]) for _, row in rows]
+    """Return all accepted tickets, ordered by number."""
+    rows = await table.scan(TICKETS_TABLE)
+    return [Accepted(_ticket_from_row(row), row["sequence"]) for _, row in rows]
 
 
 def _row_key(number: int) -> str:
     return f"{number:020d}"
 
 
-def _ticket(row: dict) -> Ticket:
+def _ticket_from_row(row: dict) -> Ticket:
     return Ticket(
         row["number"],
         tuple(Change(**change) for change in row["changes"]),
--- a/tests/product/test_input_limits.py
+++ b/tests/product/test_input_limits.py
@@ -1,4 +1,4 @@
-"""Whatever comes in is bounded before it is kept, and no nonsense ends a process."""
+"""Input is limited before it is buffered, and malformed input ends no process."""
 
 import asyncio
 import struct
@@ -13,7 +13,11 @@
 from wasabideck_base.events import Clock
 from wasabideck_base.http import HttpClient
 from wasabideck_base.http_answers import PlatformNonsense
-from wasabideck_base.inner_limits import MOST_MESSAGE, MOST_STREAMS, InnerServer
+from wasabideck_base.inner_limits import (
+    MAX_CONCURRENT_STREAMS,
+    MAX_MESSAGE_BYTES,
+    InnerServer,
+)
 from wasabideck_base.members import Members
 from wasabideck_base.settings import CallerSettings
 from wasabideck_base.spread import PeersService
@@ -58,11 +62,11 @@
         (head("/v1/nowhere", CALLER, "content-length: 0"), 404),
     ],
 )
-def test_what_is_too_big_or_malformed_is_refused_and_the_entry_goes_on(
+def test_large_or_malformed_request_is_refused_and_entry_continues(
     entry_settings, run_entry, talk, data, status
 ):
-    # One client sends a body, a head or a ticket without end. Kept until it is
-    # whole, it takes the entry's memory and with it every other caller's requests.
+    # A client sends an endless body, head or ticket. If the entry buffered it until
+    # it is complete, its memory would be exhausted and other callers' requests lost.
     async def body():
         async with run_entry(entry_settings()) as entry:
             refused = await talk(entry.http, data)
@@ -75,9 +79,9 @@
     assert alive[0] == 200
 
 
-def test_a_callers_connections_are_bounded_and_freed(entry_settings, run_entry, talk):
-    # One organisation's client leaks connections until the entry has no descriptor
-    # left for anyone else.
+def test_connections_of_a_caller_are_limited_and_freed(entry_settings, run_entry, talk):
+    # One organisation's client leaks connections until the entry has no file
+    # descriptor left for other callers.
     callers = [
         CallerSettings("org-1", CALLER, most_connections=2),
         CallerSettings("org-2", "sample-other-caller-token"),
@@ -92,24 +96,25 @@
                 aiohttp.ClientSession(headers=token) as one,
                 aiohttp.ClientSession(headers=token) as two,
             ):
-                # No server is known, so each is refused at once and stays open.
+                # No server is known, so each request is refused at once. Its
+                # connection stays open.
                 for session in (one, two, one):
-                    async with session.post(url, data=b"x") as answer:
-                        statuses.append(answer.status)
-                ask = head(BRIEF, CALLER, "content-length: 0")
-                status, problem = await talk(entry.http, ask)
+                    async with session.post(url, data=b"x") as response:
+                        statuses.append(response.status)
+                request = head(BRIEF, CALLER, "content-length: 0")
+                status, problem = await talk(entry.http, request)
                 statuses.append(status)
                 assert orjson.loads(problem)["title"] == "TooManyConnections"
                 other = head(BRIEF, "sample-other-caller-token", "content-length: 0")
                 statuses.append((await talk(entry.http, other))[0])
-            while (await talk(entry.http, ask))[0] == 429:
+            while (await talk(entry.http, request))[0] == 429:
                 pass
         return statuses
 
     assert asyncio.run(asyncio.wait_for(body(), 20)) == [503, 503, 503, 429, 503]
 
 
-def test_a_connection_counts_for_its_newest_request():
+def test_connection_counts_for_caller_of_its_newest_request():
     held = HeldConnections({"a": 1, "b": 1})
 
     class Connection:
@@ -146,13 +151,16 @@
 @pytest.mark.parametrize(
     ("payload", "status"),
     [
-        (struct.pack("!?I", False, MOST_MESSAGE + 1) + b"x", Status.RESOURCE_EXHAUSTED),
+        (
+            struct.pack("!?I", False, MAX_MESSAGE_BYTES + 1) + b"x",
+            Status.RESOURCE_EXHAUSTED,
+        ),
         (struct.pack("!?I", False, 4) + b"\xff" * 4, Status.INVALID_ARGUMENT),
     ],
 )
-def test_a_peers_nonsense_is_a_typed_refusal(serving, payload, status):
-    # A broken peer announces a message of gigabytes, or sends bytes that are none
-    # of the protocol. The length was believed, and whatever came was kept.
+def test_malformed_message_of_a_peer_is_a_typed_refusal(serving, payload, status):
+    # A broken peer announces a message of gigabytes, or sends bytes that don't belong
+    # to the protocol. The length was trusted, and all received bytes were buffered.
     async def body(channel):
         stream = channel.request(
             "/wasabideck.Peers/Status",
@@ -171,34 +179,34 @@
     assert serving(body) == (status, "one")
 
 
-def test_open_streams_are_bounded(serving):
+def test_open_streams_are_limited(serving):
     async def body(channel):
         await PeersStub(channel).Status(pb.StatusRequest(), timeout=5)
         return channel._protocol.connection._connection.remote_settings
 
-    assert serving(body).max_concurrent_streams == MOST_STREAMS
+    assert serving(body).max_concurrent_streams == MAX_CONCURRENT_STREAMS
 
 
 @pytest.mark.parametrize(
     "change",
     [b"", b"[]", b"{}", b"\xff", b'{"scope": 1, "slot": "model"}', b'{"other": 1}'],
 )
-def test_a_malformed_change_is_a_link_failure(change):
-    # A process compares its tickets with a peer whose memory is damaged. Untyped,
-    # the error ended the loop that hears tickets, and with it the process.
+def test_malformed_change_is_a_link_failure(change):
+    # A process compares its tickets with a peer whose memory is corrupted. An untyped
+    # error terminated the loop that receives tickets, and with it the process.
     with pytest.raises(MalformedMessage) as caught:
         assignments_from([pb.Entry(scope="a", slot="model", ticket=1, change=change)])
     assert isinstance(caught.value, LINK_FAILURES)
 
 
-@pytest.mark.parametrize("answer", [b"<html>", b"[1]", b'[{"vm": 1}]', b"{}x", b"7"])
-def test_a_nonsense_answer_of_the_platform_is_a_typed_failure(answer):
-    # A gateway answers 200 with a page of its own. The membership list became an
-    # untyped error, which ended the process of every VM at the same moment.
+@pytest.mark.parametrize("payload", [b"<html>", b"[1]", b'[{"vm": 1}]', b"{}x", b"7"])
+def test_malformed_response_of_the_platform_is_a_typed_failure(payload):
+    # A gateway responds with status 200 and a page of its own. Reading the membership
+    # list raised an untyped error, which terminated the processes of all VMs at once.
     async def serve(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
-        length = f"content-length: {len(answer)}\r\n\r\n".encode()
-        writer.write(b"HTTP/1.1 200 OK\r\nconnection: close\r\n" + length + answer)
+        length = f"content-length: {len(payload)}\r\n\r\n".encode()
+        writer.write(b"HTTP/1.1 200 OK\r\nconnection: close\r\n" + length + payload)
         writer.close()
 
     async def body():
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""The membership list is read within a budget, however long it is."""
+"""Reads of the membership list stay within a bandwidth budget at any list size."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 from wasabideck_policy.membership import Member
 
 
-def test_an_unchanged_or_large_list_is_not_sent_again(rng):
-    """Every process reads the list each second. With 1,800 VMs on it that was
-    250 KB/s a process, of which almost nothing had changed: the list was sent
-    whole each time. Now an unchanged one costs a tag, and a changed one delays the
-    next read by its size."""
+def test_unchanged_list_is_not_resent_and_large_list_delays_next_read(rng):
+    """Every process reads the list once a second. With 1,800 VMs, sending the whole
+    list each time cost 250 KB/s per process, although almost nothing changed. An
+    unchanged list must cost only a tag, and a changed one delays the next read
+    according to its size."""
 
     async def session():
         standin = MembersStandin(Faults(rng))
@@ -29,7 +29,7 @@
             standin.remove("vm-7")
             counts.append(len(await members.read(10_000.0)))
             await members.read(20_000.0)
-            unchanged = await members.http.get_if_changed("/v1/members", members._tag)
+            unchanged = await members.http.get_if_changed("/v1/members", members._etag)
         await runner.cleanup()
         return counts, reads_within_budget, unchanged
 
--- a/tests/tickets/conftest.py
+++ b/tests/tickets/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests about tickets."""
+"""Fixtures for the tests of tickets."""
 
 import asyncio
 
@@ -17,16 +17,16 @@
 
 @pytest.fixture
 def make_ticket():
-    def make(number, *scopes, version="v1"):
+    def make_one(number, *scopes, version="v1"):
         changes = [Change(s, "model", "m", version, "d" * 64) for s in scopes]
         return Ticket(number, tuple(changes))
 
-    return make
+    return make_one
 
 
 @pytest.fixture
 def accept(table):
-    def run(ticket, operator="operator-1"):
+    def accept_now(ticket, operator="operator-1"):
         return asyncio.run(accept_ticket(table, ticket, operator, NOW))
 
-    return run
+    return accept_now
--- a/tests/tickets/fake_table.py
+++ b/tests/tickets/fake_table.py
@@ -1,4 +1,4 @@
-"""A table in memory whose answers are lost, late or stale as a test says."""
+"""An in-memory table that injects lost responses, delayed writes and stale reads."""
 
 import copy
 from collections import deque
@@ -10,10 +10,11 @@
 
 @define
 class FakeTable:
-    """``faults`` names, write by write, what befalls it: "" for nothing.
+    """A table whose ``faults`` hold one fault per write, "" for none.
 
-    "down" refuses it, "lose" carries it out and loses the answer, "late" keeps it
-    in ``late`` until the test carries it out.
+    "down" refuses the write, "lose" executes it and loses the response, and "late"
+    keeps it in ``late`` until the test executes it by ``apply_late``. ``reads_down``
+    fails all reads, and ``stale`` replaces the rows that reads return.
     """
 
     rows: dict = field(factory=dict)
@@ -24,12 +25,12 @@
     stale: dict | None = None
 
     async def get(self, table, key):
-        self._refuse_read()
+        self._raise_if_reads_down()
         rows = self.rows if self.stale is None else self.stale
         return copy.deepcopy(rows.get((table, key)))
 
     async def scan(self, table, prefix="", above=-1):
-        self._refuse_read()
+        self._raise_if_reads_down()
         rows = self.rows if self.stale is None else self.stale
         return [
             (key, copy.deepcopy(row))
@@ -56,7 +57,7 @@
     def apply(self, checks, writes):
         for check in checks:
             row = self.rows.get((check.table, check.key))
-            if not _holds(row, check.expected):
+            if not _matches(row, check.expected):
                 self.log.append(f"write failed: {check.table} {check.key}")
                 return CheckFailed(check, copy.deepcopy(row))
         for write in writes:
@@ -65,19 +66,19 @@
         return None
 
     def apply_late(self):
-        """Carry out the writes that were on their way, in order."""
+        """Execute the delayed writes in order."""
         late, self.late = self.late, []
         return [self.apply(*write) for write in late]
 
     def snapshot(self):
         return copy.deepcopy(self.rows)
 
-    def _refuse_read(self):
+    def _raise_if_reads_down(self):
         if self.reads_down:
             raise PlatformUnavailable("fake", "read timed out", maybe_applied=True)
 
 
-def _holds(row, expected):
+def _matches(row, expected):
     if row is None or expected is None:
         return row is expected
     return all(row.get(name) == value for name, value in expected.items())
--- a/tests/tickets/test_acceptance.py
+++ b/tests/tickets/test_acceptance.py
@@ -1,4 +1,4 @@
-"""A submitted ticket ends accepted, refused by type, or honestly unknown."""
+"""A submission ends as accepted, as refused with a type, or as unknown."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
     return asyncio.run(settle_ticket(table, number))
 
 
-def test_the_same_ticket_twice_is_accepted_once(accept, make_ticket):
+def test_ticket_submitted_twice_is_accepted_once(accept, make_ticket):
     first = accept(make_ticket(5, "a"))
     again = accept(make_ticket(5, "a"), "operator-2")
     assert (first.sequence, first.again) == (1, False)
@@ -26,13 +26,13 @@
     assert again.ticket.operator == "operator-1"
 
 
-def test_a_number_used_twice_is_a_conflict(accept, make_ticket):
+def test_number_reused_with_other_content_is_a_conflict(accept, make_ticket):
     accept(make_ticket(5, "a"))
     with pytest.raises(TicketConflict):
         accept(make_ticket(5, "a", version="v2"))
 
 
-def test_a_lower_number_is_refused_on_touched_things_only(accept, make_ticket):
+def test_lower_number_is_refused_only_for_keys_of_later_tickets(accept, make_ticket):
     accept(make_ticket(5, "a"))
     with pytest.raises(TicketSuperseded) as caught:
         accept(make_ticket(4, "a", "b"))
@@ -40,18 +40,18 @@
     assert accept(make_ticket(4, "b")).sequence == 2
 
 
-def test_an_answer_lost_after_the_write_is_accepted(table, accept, make_ticket):
-    """The operator sees a time-out, sends again and fears a second ticket. The
-    table wrote the ticket and its answer got lost; reading back finds it."""
+def test_write_with_lost_response_is_read_back_as_accepted(table, accept, make_ticket):
+    """The table executes the write and its response is lost. Reading the ticket back
+    must find it, so that the operator need not submit it again."""
     table.faults.append("lose")
     accepted = accept(make_ticket(1, "a"))
     assert (accepted.sequence, accepted.again) == (1, False)
 
 
-def test_a_write_applied_late_cannot_undo_a_newer_ticket(table, accept, make_ticket):
-    """Ticket 1's answer is lost; the operator is told accepted, and ticket 2 comes.
-    Then the table carries ticket 1's first write out after all, and the fleet goes
-    back to ticket 1. Cause: a write is delayed behind its broken connection."""
+def test_delayed_write_cannot_revert_a_newer_ticket(table, accept, make_ticket):
+    """The response to ticket 1's first write is lost, a second write is accepted, and
+    ticket 2 follows. The table then executes the first write, which was delayed
+    behind a broken connection; the fleet must not revert to ticket 1."""
     table.faults.append("late")
     accept(make_ticket(1, "a"))
     accept(make_ticket(2, "a", version="v2"))
@@ -59,10 +59,10 @@
     assert table.rows["state", "a#model"]["ticket"] == 2
 
 
-def test_status_of_an_absent_ticket_is_final(table, accept, make_ticket):
-    """A submission ends unknown; `ticket status` says that it is not accepted, the
-    operator withdraws it, and a minute later the fleet loads it. Cause: the write
-    was still on its way when the status was read."""
+def test_not_accepted_status_is_final(table, accept, make_ticket):
+    """A submission ends as unknown, and `ticket status` reports that it is not
+    accepted. The write was still in flight when the status was read; it must not
+    take effect a minute later, after the operator has withdrawn the ticket."""
     table.faults.extend(["late", "down"])
     with pytest.raises(TicketUnknown):
         accept(make_ticket(1, "a"))
@@ -71,7 +71,7 @@
     assert asyncio.run(read_ticket(table, 1)) is None
 
 
-def test_status_finds_a_write_that_came_late(table, accept, make_ticket):
+def test_status_finds_a_delayed_write(table, accept, make_ticket):
     table.faults.extend(["late", "down"])
     with pytest.raises(TicketUnknown):
         accept(make_ticket(1, "a"))
@@ -79,7 +79,7 @@
     assert settle(table, 1).ticket.number == 1
 
 
-def test_status_with_the_table_down_stays_unknown(table, accept, make_ticket):
+def test_status_is_unknown_while_the_table_is_down(table, accept, make_ticket):
     accept(make_ticket(1, "a"))
     table.reads_down = True
     with pytest.raises(TicketUnknown):
@@ -87,8 +87,8 @@
 
 
 @pytest.mark.parametrize("fault", ["down", "reads"])
-def test_a_table_that_is_down_accepts_nothing(table, accept, make_ticket, fault):
-    """A read that timed out leaves no doubt: nothing was written yet."""
+def test_unavailable_table_accepts_nothing(table, accept, make_ticket, fault):
+    """A failed read is no unknown result: nothing was written before it."""
     table.reads_down = fault == "reads"
     table.faults.append("down")
     with pytest.raises(PlatformUnavailable) as caught:
@@ -97,20 +97,20 @@
     assert not table.rows
 
 
-def test_a_ticket_that_stands_but_cannot_be_read_back_is_unknown(
-    table, accept, make_ticket
-):
-    """The write took effect, its answer and then the table were lost: neither
-    accepted nor refused may be said. The same file again finds it accepted."""
+def test_written_ticket_that_cannot_be_read_back_is_unknown(table, accept, make_ticket):
+    """The write takes effect, its response is lost, and then the table is down: the
+    ticket must be reported neither as accepted nor as refused. Submitting the same
+    ticket again finds it accepted."""
     table.faults.extend(["lose", "down"])
     with pytest.raises(TicketUnknown):
         accept(make_ticket(1, "a"))
     assert accept(make_ticket(1, "a")).again
 
 
-def test_stale_reads_accept_nothing_against_a_newer_ticket(table, accept, make_ticket):
-    """Reads come from a replica that lags: the submission sees neither its own
-    number taken nor the later holder. The conditions of the write see them."""
+def test_stale_reads_do_not_override_a_newer_ticket(table, accept, make_ticket):
+    """Reads come from a replica that lags behind, so the submission sees neither a
+    ticket with its own number nor the later ticket that changed the same key. The
+    checks of the write must fail."""
     accept(make_ticket(1, "a"))
     before = table.snapshot()
     accept(make_ticket(7, "b"))
@@ -120,11 +120,12 @@
     assert table.rows["state", "b#model"]["ticket"] == 7
 
 
-def test_a_fresh_head_beside_stale_rows_accepts_nothing_wrong(
+def test_current_head_with_stale_rows_does_not_override_a_newer_ticket(
     table, accept, make_ticket
 ):
-    """The head is read from the table and the rows from a replica that lags: a
-    lower number passes its holder, and the fleet goes back to it."""
+    """The head is read from the table, but the rows from a replica that lags behind.
+    A lower number must not override the later ticket that changed the same key, or
+    the fleet would revert to it."""
     accept(make_ticket(1, "a"))
     before = table.snapshot()
     accept(make_ticket(7, "b"))
@@ -134,17 +135,17 @@
     assert table.rows["state", "b#model"]["ticket"] == 7
 
 
-def test_a_ticket_that_always_loses_the_race_is_certainly_not_accepted(
+def test_ticket_that_loses_every_race_is_certainly_not_accepted(
     table, accept, make_ticket, monkeypatch
 ):
-    """Somebody moves the head before each try. No write of this ticket can stand,
-    so its operator is told that, and not that it is unknown."""
-    write = type(table).transact
+    """Another ticket advances the head before each attempt. No write of this ticket
+    can take effect, so the result must be "not accepted" instead of unknown."""
+    original_transact = type(table).transact
 
     async def transact(self, checks, writes):
         sequence = self.rows.get(("head", "head"), {"sequence": 0})["sequence"]
         self.rows["head", "head"] = {"sequence": sequence + 1, "newest": 0}
-        return await write(self, checks, writes)
+        return await original_transact(self, checks, writes)
 
     monkeypatch.setattr(type(table), "transact", transact)
     with pytest.raises(TicketRaced):
@@ -152,7 +153,7 @@
     assert ("tickets", f"{1:020d}") not in table.rows
 
 
-def test_changes_are_read_above_a_place(table, accept, make_ticket):
+def test_changes_are_read_after_a_sequence(table, accept, make_ticket):
     accept(make_ticket(1, "a", "b"))
     accept(make_ticket(2, "a", version="v2"))
     newest = asyncio.run(read_changes(table, 1))
--- a/tests/tickets/test_race_sessions.py
+++ b/tests/tickets/test_race_sessions.py
@@ -1,7 +1,7 @@
-"""Golden files of whole sessions in which operators race one another.
+"""Golden files of sessions in which several operators submit tickets concurrently.
 
-The order in which the table carries their reads and writes out is drawn from a
-seeded rng, so each session is the same in every run.
+A seeded rng draws the order in which the table executes their reads and writes, so
+that each session is the same in every run.
 """
 
 import asyncio
@@ -18,45 +18,45 @@
 
 
 @define
-class Turns:
-    """Lets one waiting operation after the other go on, as the rng draws."""
+class Scheduler:
+    """Runs the waiting table operations one by one, in an order drawn by the rng."""
 
     rng: random.Random
     waiting: list = field(factory=list)
 
     async def wait(self):
-        turn = asyncio.get_running_loop().create_future()
-        self.waiting.append(turn)
-        await turn
+        scheduled = asyncio.get_running_loop().create_future()
+        self.waiting.append(scheduled)
+        await scheduled
 
-    async def run(self, *operators):
-        tasks = [asyncio.create_task(operator) for operator in operators]
+    async def run(self, *sessions):
+        tasks = [asyncio.create_task(session) for session in sessions]
         while not all(task.done() for task in tasks):
-            await _let_all_reach_the_table()
+            await _run_until_all_wait()
             if self.waiting:
                 index = self.rng.randrange(len(self.waiting))
                 self.waiting.pop(index).set_result(None)
 
 
-async def _let_all_reach_the_table():
+async def _run_until_all_wait():
     for _ in range(10):
         await asyncio.sleep(0)
 
 
 @define
 class Operator:
-    """One operator's way to the table, which waits for its turn."""
+    """An operator's table client; each operation waits until it is scheduled."""
 
     name: str
     table: FakeTable
-    turns: Turns
+    scheduler: Scheduler
 
     async def get(self, table, key):
-        await self.turns.wait()
+        await self.scheduler.wait()
         return await self.table.get(table, key)
 
     async def transact(self, checks, writes):
-        await self.turns.wait()
+        await self.scheduler.wait()
         self.table.log.append(f"{self.name} writes")
         return await self.table.transact(checks, writes)
 
@@ -65,66 +65,66 @@
         ticket = Ticket(number, changes)
         try:
             done = await accept_ticket(self, ticket, self.name, NOW)
-            told = f"accepted as {done.sequence}" + (" before" if done.again else "")
+            result = f"accepted as {done.sequence}" + (" before" if done.again else "")
         except WasabideckError as exc:
-            told = f"{type(exc).__name__}: {exc}"
-        self.table.log.append(f"{self.name} is told of {number}: {told}")
+            result = f"{type(exc).__name__}: {exc}"
+        self.table.log.append(f"{self.name} is told of {number}: {result}")
 
-    async def ask(self, number):
+    async def query_status(self, number):
         found = await settle_ticket(self, number)
-        told = f"accepted as {found.sequence}" if found else "certainly not accepted"
-        self.table.log.append(f"{self.name} asks for {number}: {told}")
+        result = f"accepted as {found.sequence}" if found else "certainly not accepted"
+        self.table.log.append(f"{self.name} asks for {number}: {result}")
 
 
 @pytest.fixture
-def stage(rng):
+def race(rng):
     table = FakeTable()
-    turns = Turns(rng)
-    people = [Operator(name, table, turns) for name in ("amal", "badr", "chai")]
-    return table, turns, people
+    scheduler = Scheduler(rng)
+    operators = [Operator(name, table, scheduler) for name in ("amal", "badr", "chai")]
+    return table, scheduler, operators
 
 
-def _shown(table):
+def _log_and_state(table):
     state = {k: r["ticket"] for (t, k), r in sorted(table.rows.items()) if t == "state"}
     return {"session": table.log, "state": state}
 
 
-def test_three_operators_one_number(stage, data_regression):
-    """Three operators file ticket 7 at once, two of them the same file. One content
-    stands; who filed another is told of the conflict."""
-    table, turns, (amal, badr, chai) = stage
+def test_three_operators_one_number(race, data_regression):
+    """Three operators submit ticket 7 concurrently, two of them with the same content.
+    One content is accepted; a submission with the other ends as a conflict."""
+    table, scheduler, (amal, badr, chai) = race
     asyncio.run(
-        turns.run(
+        scheduler.run(
             amal.submit(7, "v1", "drafting"),
             badr.submit(7, "v2", "drafting"),
             chai.submit(7, "v1", "drafting"),
         )
     )
-    data_regression.check(_shown(table))
+    data_regression.check(_log_and_state(table))
 
 
-def test_lower_numbers_on_touched_and_untouched_things(stage, data_regression):
-    """Tickets 5, 6 and 7 come at once and overlap in what they touch. The newest
-    holds each thing; a lower one that comes after it is refused, or had come before
-    and was superseded."""
-    table, turns, (amal, badr, chai) = stage
+def test_lower_numbers_on_changed_and_unchanged_keys(race, data_regression):
+    """Tickets 5, 6 and 7 are submitted concurrently and overlap in what they change.
+    Each key ends with the newest ticket; a lower ticket is refused after it, or was
+    accepted before it and is superseded."""
+    table, scheduler, (amal, badr, chai) = race
     asyncio.run(
-        turns.run(
+        scheduler.run(
             amal.submit(5, "v5", "drafting", "replies"),
             badr.submit(6, "v6", "replies"),
             chai.submit(7, "v7", "drafting"),
         )
     )
-    data_regression.check(_shown(table))
+    data_regression.check(_log_and_state(table))
 
 
-def test_a_lost_answer_amid_a_race(stage, data_regression):
-    """One operator's write takes effect late, while another files and a third asks
-    for its status. Nobody is told anything that a later line takes back."""
-    table, turns, (amal, badr, chai) = stage
+def test_lost_response_during_a_race(race, data_regression):
+    """One operator's write is delayed, while another operator submits a ticket and a
+    third queries the status. No result may be contradicted by a later one."""
+    table, scheduler, (amal, badr, chai) = race
     table.faults.extend(["late", "down"])
-    asyncio.run(turns.run(amal.submit(5, "v5", "drafting")))
-    asyncio.run(turns.run(badr.submit(6, "v6", "drafting"), chai.ask(5)))
+    asyncio.run(scheduler.run(amal.submit(5, "v5", "drafting")))
+    asyncio.run(scheduler.run(badr.submit(6, "v6", "drafting"), chai.query_status(5)))
     table.apply_late()
-    asyncio.run(turns.run(chai.ask(5), amal.submit(5, "v5", "drafting")))
-    data_regression.check(_shown(table))
+    asyncio.run(scheduler.run(chai.query_status(5), amal.submit(5, "v5", "drafting")))
+    data_regression.check(_log_and_state(table))
--- a/tests/tickets/test_spread.py
+++ b/tests/tickets/test_spread.py
@@ -1,4 +1,4 @@
-"""Ticket state between processes, over the real inner protocol on loopback."""
+"""Replication of the ticket state over the inner protocol on the loopback interface."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 def poll(spread, head, *rows):
-    """Have a process read a table with these rows and this newest ticket."""
+    """Let a process poll a table with a newest ticket and some rows."""
     table = FakeTable()
     table.rows["head", "head"] = {"sequence": head, "newest": head}
     for row in rows:
@@ -30,14 +30,14 @@
     return spread.poll(table)
 
 
-async def sync(asker, answerer, listed=3):
-    async with ChannelFor([PeersService(answerer, lambda req: None)]) as channel:
-        await asker.sync(answerer.vm, channel, listed)
+async def sync(client, server, entry_count=3):
+    async with ChannelFor([PeersService(server, lambda req: None)]) as channel:
+        await client.sync(server.vm, channel, entry_count)
 
 
-def test_a_push_alone_does_not_open_a_starting_process():
-    """A VM starts, and one new ticket for another service is pushed to it. Taken
-    for the whole state, it would say that no ticket names the VM's own service."""
+def test_push_alone_does_not_make_a_starting_process_ready():
+    """A VM starts, and a ticket for another service is pushed to it. If it took this
+    for the whole state, it would assume that no ticket exists for its own service."""
     now = [100.0]
     new, old = make_spread("new", now), make_spread("old", now)
 
@@ -50,18 +50,18 @@
     assert not new.heard
 
 
-def test_a_thawed_peer_is_no_witness_alone():
-    """An entry was frozen for a minute; a starting VM asks it first, with the table
-    down, and would load what was superseded meanwhile."""
+def test_state_of_one_formerly_suspended_peer_is_not_sufficient():
+    """An entry was suspended for a minute, and the table is down. A starting VM that
+    queries this entry first must not load weights that were superseded meanwhile."""
     now = [100.0]
-    new, thawed, awake = (make_spread(vm, now) for vm in ("new", "thawed", "awake"))
+    new, suspended, awake = (make_spread(vm, now) for vm in ("new", "thawed", "awake"))
 
     async def run():
-        await poll(thawed, 1, assignment(1))
+        await poll(suspended, 1, assignment(1))
         now[0] += 60.0
         await poll(awake, 2, assignment(2))
         now[0] += 10.0
-        await sync(new, thawed)
+        await sync(new, suspended)
         assert not new.heard
         await sync(new, awake)
 
@@ -70,9 +70,9 @@
     assert new.state.newest(assignment(2).change.key).ticket == 2
 
 
-def test_a_scan_that_lags_behind_the_head_is_read_again():
-    """The head says that ticket 2 is there, the scan does not show it yet. Taken as
-    read, it would never be scanned again, and the VM would stay at ticket 1."""
+def test_scan_that_lags_behind_the_head_is_repeated():
+    """The head row includes ticket 2, but the scan doesn't return it yet. If ticket 2
+    counted as read, it would never be read, and the VM would stay at ticket 1."""
     now = [100.0]
     spread = make_spread("vm", now)
 
@@ -86,13 +86,13 @@
     assert spread.state.newest(assignment(2).change.key).ticket == 2
 
 
-def test_a_lost_push_is_made_up_for_by_a_comparison():
+def test_comparison_repairs_a_lost_push():
     now = [100.0]
     one, other = make_spread("one", now), make_spread("other", now)
 
     async def run():
         await poll(one, 3, assignment(1, "a"), assignment(2, "b"), assignment(3, "c"))
-        # Ticket 2's push got lost, ticket 3's came.
+        # The push of ticket 2 was lost, that of ticket 3 was received.
         other.merge([assignment(1, "a"), assignment(3, "c")])
         await sync(other, one)
 
--- a/tests/tickets/test_ticket_machine.py
+++ b/tests/tickets/test_ticket_machine.py
@@ -1,7 +1,7 @@
-"""Random sessions of submissions, faults and gossip keep every ticket promise.
+"""Stateful tests of ticket acceptance and replication under random faults.
 
-Each rule that the promises rest on is broken on purpose, and the same machine has
-to catch the broken copy.
+Each rule that the guarantees depend on is also replaced by a broken copy, which the
+same state machine must detect.
 """
 
 import asyncio
@@ -23,9 +23,9 @@
     digest_of,
 )
 
-PROCESSES = 2
-PROCESS = st.integers(0, PROCESSES - 1)
-NUMBERS = st.integers(1, 6)
+PROCESS_COUNT = 2
+PROCESS = st.integers(0, PROCESS_COUNT - 1)
+TICKET_NUMBERS = st.integers(1, 6)
 FAULTS = st.sampled_from(
     [(), ("down",), ("lose",), ("lose", "down"), ("late",), ("late", "down")]
 )
@@ -37,26 +37,26 @@
 
 
 def run(coroutine):
-    """The result of a coroutine that never waits for anything outside."""
+    """Return the result of a coroutine that waits for no external event."""
     return LOOP.run_until_complete(coroutine)
 
 
 class AcceptanceMachine(RuleBasedStateMachine):
-    """Operators submit, and ask for status, through every fault of the table."""
+    """Operators submit tickets and query their status under all faults of the table."""
 
     def __init__(self):
         super().__init__()
         self.table = FakeTable()
         self.accepted = {}
         self.absent = set()
-        self.last = 0
+        self.last_number = 0
 
-    @rule(number=NUMBERS, changes=st.sampled_from(CONTENTS), faults=FAULTS)
+    @rule(number=TICKET_NUMBERS, changes=st.sampled_from(CONTENTS), faults=FAULTS)
     def submit(self, number, changes, faults):
         ticket = Ticket(number, changes)
-        self.last = number
+        self.last_number = number
         digest = digest_of(ticket)
-        # Sent again, a ticket may be accepted after all.
+        # A ticket that was not accepted may be accepted when it is submitted again.
         self.absent.discard(digest)
         self.table.faults.extend(faults)
         try:
@@ -71,27 +71,27 @@
             self.absent.add(digest)
         self.table.faults.clear()
 
-    @precondition(lambda self: self.last)
+    @precondition(lambda self: self.last_number)
     @rule()
-    def ask_status_of_the_last(self):
-        number = self.last
+    def query_status_of_last_submission(self):
+        number = self.last_number
         if run(ticket_store.settle_ticket(self.table, number)) is None:
             assert number not in self.accepted
             self.absent |= {digest_of(Ticket(number, c)) for c in CONTENTS}
 
     @rule()
-    def late_writes_come(self):
+    def execute_late_writes(self):
         self.table.apply_late()
 
     @invariant()
-    def what_was_said_of_tickets_is_true(self):
+    def reported_results_are_true(self):
         rows = {k: r for (t, k), r in self.table.rows.items() if t == "tickets"}
         for number, digest in self.accepted.items():
             assert rows[f"{number:020d}"]["digest"] == digest
         assert not self.absent & {row["digest"] for row in rows.values()}
 
     @invariant()
-    def the_table_holds_the_newest_of_each_thing(self):
+    def table_holds_newest_ticket_of_each_key(self):
         newest = {}
         for (name, _), row in self.table.rows.items():
             for change in row["changes"] if name == "tickets" else ():
@@ -103,19 +103,19 @@
         assert state == newest
 
 
-class SpreadMachine(RuleBasedStateMachine):
-    """Processes poll a table that may be stale, compare and push, in any order."""
+class ReplicationMachine(RuleBasedStateMachine):
+    """Processes poll a table with stale reads, compare and push, in any order."""
 
     def __init__(self):
         super().__init__()
         self.tables = [{}]
-        self.states = [TicketState() for _ in range(PROCESSES)]
-        self.highest = [{} for _ in range(PROCESSES)]
+        self.states = [TicketState() for _ in range(PROCESS_COUNT)]
+        self.highest = [{} for _ in range(PROCESS_COUNT)]
 
     @rule(changes=st.sampled_from(CONTENTS))
     def accept(self, changes):
-        place = len(self.tables)
-        rows = {c.key: Assignment(place, c, place) for c in changes}
+        sequence = len(self.tables)
+        rows = {c.key: Assignment(sequence, c, sequence) for c in changes}
         self.tables.append(self.tables[-1] | rows)
 
     @rule(process=PROCESS, behind=st.integers(0, 3))
@@ -125,20 +125,20 @@
         found = [a for a in rows if a.sequence > state.sequence]
         state.merge(found, max((a.sequence for a in found), default=0))
 
-    @rule(giver=PROCESS, taker=PROCESS)
-    def compare(self, giver, taker):
-        one, other = self.states[giver], self.states[taker]
+    @rule(sender=PROCESS, receiver=PROCESS)
+    def compare(self, sender, receiver):
+        one, other = self.states[sender], self.states[receiver]
         other.merge(one.above(other.sequence), one.sequence)
 
-    @rule(giver=PROCESS, taker=PROCESS)
-    def push(self, giver, taker):
-        self.states[taker].merge(self.states[giver].assignments()[-1:])
+    @rule(sender=PROCESS, receiver=PROCESS)
+    def push(self, sender, receiver):
+        self.states[receiver].merge(self.states[sender].assignments()[-1:])
 
-    @rule(place=st.integers(1, 5), taker=PROCESS)
-    def old_push_comes_late(self, place, taker):
-        if place < len(self.tables):
-            rows = self.tables[place].values()
-            self.states[taker].merge([a for a in rows if a.sequence == place])
+    @rule(sequence=st.integers(1, 5), receiver=PROCESS)
+    def receive_delayed_push(self, sequence, receiver):
+        if sequence < len(self.tables):
+            rows = self.tables[sequence].values()
+            self.states[receiver].merge([a for a in rows if a.sequence == sequence])
 
     @invariant()
     def no_process_reverts(self):
@@ -148,20 +148,20 @@
                 highest[held.change.key] = held.ticket
 
     @invariant()
-    def what_is_above_a_place_is_complete(self):
+    def changes_after_a_sequence_are_complete(self):
         for state in self.states:
-            for place in range(len(self.tables)):
-                held = [a for a in state.assignments() if a.sequence > place]
-                assert state.above(place) == held
+            for sequence in range(len(self.tables)):
+                held = [a for a in state.assignments() if a.sequence > sequence]
+                assert state.above(sequence) == held
 
     @invariant()
-    def equal_states_and_no_others_have_equal_hashes(self):
+    def hashes_are_equal_exactly_for_equal_states(self):
         one, other = self.states
-        same = one.assignments() == other.assignments()
-        assert (one.state_hash() == other.state_hash()) is same
+        equal = one.assignments() == other.assignments()
+        assert (one.state_hash() == other.state_hash()) is equal
 
     @invariant()
-    def a_process_at_a_place_holds_all_before_it(self):
+    def process_holds_all_changes_up_to_its_sequence(self):
         for state in self.states:
             for key, row in self.tables[-1].items():
                 held = state.newest(key)
@@ -170,9 +170,9 @@
 
 
 LOOP = asyncio.new_event_loop()
-FEW = settings(max_examples=60, stateful_step_count=15)
-# A broken copy has only to be caught: shrinking its example would take minutes.
-MANY = settings(
+FEW_EXAMPLES = settings(max_examples=60, stateful_step_count=15)
+# A broken copy only needs to be detected: shrinking the example would take minutes.
+MANY_EXAMPLES = settings(
     max_examples=1000,
     stateful_step_count=15,
     print_blob=False,
@@ -181,65 +181,69 @@
 )
 
 
-@pytest.mark.parametrize("machine", [AcceptanceMachine, SpreadMachine])
-def test_every_session_keeps_the_promises(machine):
-    run_machine(machine, settings=FEW)
+@pytest.mark.parametrize("machine", [AcceptanceMachine, ReplicationMachine])
+def test_every_session_keeps_the_guarantees(machine):
+    run_machine(machine, settings=FEW_EXAMPLES)
 
 
-def _merge_whatever_comes(self, assignments, sequence=0):
+def _merge_older_changes_too(self, assignments, sequence=0):
     for assignment in assignments:
         self._replace(self.newest(assignment.change.key), assignment)
     self.sequence = max(self.sequence, sequence)
 
 
-def _take_a_push_for_a_place(self, assignments, sequence=0):
+def _advance_sequence_on_push(self, assignments, sequence=0):
     assignments = list(assignments)
-    places = [sequence, *(a.sequence for a in assignments)]
-    return MERGE(self, assignments, max(places))
+    sequences = [sequence, *(a.sequence for a in assignments)]
+    return MERGE(self, assignments, max(sequences))
 
 
-async def _believe_an_absent_row(table, number):
+async def _trust_an_absent_row(table, number):
     return await ticket_store.read_ticket(table, number)
 
 
-async def _do_not_fence(table, head, ticket, lost):
+async def _do_not_fence(table, head, ticket, lost_write):
     return True
 
 
-def _unchecked(*tables):
-    """The acceptance without its conditions on some tables."""
+def _without_checks(*tables):
+    """Return the acceptance transaction without its checks on some tables."""
 
     def acceptance(ticket, head, holders):
-        checks, writes = ACCEPTANCE(ticket, head, holders)
+        checks, writes = ACCEPTANCE_TRANSACTION(ticket, head, holders)
         return [check for check in checks if check.table not in tables], writes
 
     return acceptance
 
 
 MERGE = TicketState.merge
-ACCEPTANCE = ticket_store._acceptance
+ACCEPTANCE_TRANSACTION = ticket_store._acceptance_transaction
 BROKEN = {
-    "merge-not-monotone": (SpreadMachine, "merge", _merge_whatever_comes),
-    "push-taken-for-a-place": (SpreadMachine, "merge", _take_a_push_for_a_place),
+    "merge-not-monotone": (ReplicationMachine, "merge", _merge_older_changes_too),
+    "push-taken-for-a-place": (ReplicationMachine, "merge", _advance_sequence_on_push),
     "absent-row-believed": (
         AcceptanceMachine,
         "settle_ticket",
-        _believe_an_absent_row,
+        _trust_an_absent_row,
     ),
     "lost-write-not-fenced": (AcceptanceMachine, "_fence", _do_not_fence),
-    "head-unchecked": (AcceptanceMachine, "_acceptance", _unchecked("head")),
+    "head-unchecked": (
+        AcceptanceMachine,
+        "_acceptance_transaction",
+        _without_checks("head"),
+    ),
     "nothing-checked": (
         AcceptanceMachine,
-        "_acceptance",
-        _unchecked("head", "tickets", "state"),
+        "_acceptance_transaction",
+        _without_checks("head", "tickets", "state"),
     ),
 }
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_a_broken_copy_of_a_rule_is_caught(monkeypatch, name):
+def test_broken_copy_of_a_rule_is_detected(monkeypatch, name):
     machine, rule_name, broken = BROKEN[name]
-    owner = TicketState if machine is SpreadMachine else ticket_store
+    owner = TicketState if machine is ReplicationMachine else ticket_store
     monkeypatch.setattr(owner, rule_name, broken)
     with pytest.raises(AssertionError):
-        run_machine(machine, settings=MANY)
+        run_machine(machine, settings=MANY_EXAMPLES)
