--- a/packages/wasabideck_wire/wasabideck_wire/__init__.py
+++ b/packages/wasabideck_wire/wasabideck_wire/__init__.py
@@ -1,1 +1,1 @@
-"""The inner protocol of wasabideck."""
+"""The inner protocol between the processes of wasabideck."""
--- a/packages/wasabideck_wire/wasabideck_wire/convert.py
+++ b/packages/wasabideck_wire/wasabideck_wire/convert.py
@@ -1,4 +1,4 @@
-"""Conversion between the inner protocol's messages and attrs data."""
+"""Conversion between the inner protocol's messages and attrs classes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def entries_from(assignments: Iterable[Assignment]) -> list[pb.Entry]:
-    """Messages for assignments of tickets."""
+    """Return the messages for assignments of tickets."""
     return [
         pb.Entry(
             scope=a.change.scope,
@@ -40,23 +40,24 @@
 
 
 def assignments_from(entries: Iterable[pb.Entry]) -> list[Assignment]:
-    """Assignments of tickets from messages; raises ``MalformedMessage``."""
-    return [_assignment_from(entry) for entry in entries]
+    """Return the assignments of tickets in messages; raises ``MalformedMessage``."""
+    return [_parse_assignment(entry) for entry in entries]
 
 
-def _assignment_from(entry: pb.Entry) -> Assignment:
+def _parse_assignment(entry: pb.Entry) -> Assignment:
     try:
         change = change_from_json(entry.change)
     except (ValueError, TypeError) as exc:
         raise MalformedMessage("Entry.change", str(exc)) from exc
-    # Names that are no text would end whatever sorts or compares them later.
+    # Names that are not strings would cause errors later, in the code that sorts and
+    # compares them.
     if not all(isinstance(value, str) for value in astuple(change)):
-        raise MalformedMessage("Entry.change", "a value is no string")
+        raise MalformedMessage("Entry.change", "a value is not a string")
     return Assignment(entry.ticket, change, entry.sequence)
 
 
 def final_from(outcome: Outcome) -> pb.Final:
-    """Message for a request's outcome."""
+    """Return the message for a request's outcome."""
     if isinstance(outcome, Answered):
         return pb.Final(outcome=pb.Final.ANSWERED, replayed=outcome.replayed)
     not_run = isinstance(outcome, NotRun)
@@ -71,7 +72,7 @@
 
 
 def outcome_from(final: pb.Final) -> Outcome:
-    """Outcome of a request from its message."""
+    """Return the outcome of a request in a message."""
     if final.outcome == pb.Final.ANSWERED:
         return Answered(final.replayed)
     failure = Failure(final.reason, final.detail)
--- a/packages/wasabideck_wire/wasabideck_wire/crashes.py
+++ b/packages/wasabideck_wire/wasabideck_wire/crashes.py
@@ -1,4 +1,4 @@
-"""Conversion of crashes of servers between messages and a quarantine."""
+"""Conversion of server crashes between messages and a quarantine."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 
 
 def crashes_to(quarantine: Quarantine, now: float) -> list[pb.Quarantined]:
-    """Messages for the crashes that a quarantine has not yet forgotten."""
+    """Return the messages for the crashes of a quarantine that have not expired."""
     return [
         pb.Quarantined(
-            fingerprint=name, crashes=sorted(crashes), until=max(crashes.values())
+            fingerprint=fingerprint,
+            crashes=sorted(crashes),
+            until=max(crashes.values()),
         )
-        for name, crashes in quarantine.recent(now).items()
+        for fingerprint, crashes in quarantine.recent(now).items()
     ]
 
 
 def crashes_from(
     quarantine: Quarantine, messages: Iterable[pb.Quarantined], now: float
 ) -> None:
-    """Take other processes' crashes into a quarantine."""
+    """Merge crashes that other processes reported into a quarantine."""
     for message in messages:
         for crash in message.crashes:
             quarantine.take(message.fingerprint, crash, message.until, now)
--- a/packages/wasabideck_wire/wasabideck_wire/malformed.py
+++ b/packages/wasabideck_wire/wasabideck_wire/malformed.py
@@ -1,4 +1,4 @@
-"""What is wrong with a peer's message."""
+"""The error for a malformed message of a peer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MalformedMessage(WasabideckError):
-    """A peer's message holds what is no data of the system."""
+    """A peer's message contains invalid data; names the message."""
 
     def __init__(self, message: str, why: str):
         super().__init__(f"{message}: {why}")
--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -1,4 +1,4 @@
-"""An agent beside its engine, for all tests of it."""
+"""Fixtures with an agent beside an engine, an origin of weights and a row store."""
 
 import pytest
 from agent_fakes import FakeEngine, FakeOrigin, FakeStore, new_agent
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def make_agent(engine, origin, rows):
-    """Start an agent beside the engine, as if it had just been started."""
+    """Return a function that creates a newly started agent beside the engine."""
     return lambda: new_agent(engine, origin, rows)
 
 
--- a/tests/adapter/test_engine.py
+++ b/tests/adapter/test_engine.py
@@ -1,4 +1,4 @@
-"""Orders to an engine, as they are sent."""
+"""The orders that are sent to an engine."""
 
 import asyncio
 from types import SimpleNamespace
@@ -24,15 +24,17 @@
     return EngineClient(SimpleNamespace(call=call))
 
 
-def test_an_order_names_what_the_engine_had_accepted(engine, orders):
-    # Guards against an order that is accepted after a newer one, and undoes it.
-    answers = [asyncio.run(engine.load("m", 2, True, accepted=7)) for _ in range(2)]
-    assert answers == [OrderAnswer.BEGUN, OrderAnswer.REFUSED]
+def test_order_carries_number_of_accepted_orders(engine, orders):
+    # Guards against an order that the engine accepts after a newer one, and that
+    # reverts the newer one.
+    replies = [asyncio.run(engine.load("m", 2, True, accepted=7)) for _ in range(2)]
+    assert replies == [OrderAnswer.BEGUN, OrderAnswer.REFUSED]
     assert [order["expected-rev"] for order in orders] == [7, 7]
 
 
-def test_an_engine_is_emptied_by_an_order_for_no_layers(engine, orders):
-    # Guards against half of a version being loaded when old weights are taken out.
+def test_unload_orders_an_empty_range_of_layers(engine, orders):
+    # Guards against an engine that loads half of a version when old weights are
+    # unloaded.
     assert asyncio.run(engine.unload("m", 3, accepted=1)) is OrderAnswer.BEGUN
     [order] = orders
     assert (order["from"], order["to"], order["switch-mode"]) == (0, 0, "queue")
--- a/tests/adapter/test_origin.py
+++ b/tests/adapter/test_origin.py
@@ -1,18 +1,18 @@
-"""Reads of the origin of weights over a link that is slow, or silent."""
+"""Reads of chunks from the origin over a slow or an unresponsive connection."""
 
 import asyncio
 
 import pytest
-from test_store import BODY, SILENCE, serving
+from test_store import BODY, IDLE_TIMEOUT_SECONDS, start_slow_server
 from wasabideck_adapter import engine as engine_module
 from wasabideck_adapter.engine import OriginClient
 from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_base.http_pool import HttpPool, PooledClient
 
 
-def piece_of(pieces, pause, whole):
+def read_chunk(parts, interval, complete):
     async def run():
-        server, port = await serving(pieces, pause, whole)
+        server, port = await start_slow_server(parts, interval, complete)
         async with HttpPool() as pool:
             http = PooledClient(f"127.0.0.1:{port}", 3.0, pool)
             try:
@@ -25,16 +25,21 @@
 
 
 @pytest.fixture(autouse=True)
-def short_silence(monkeypatch):
-    monkeypatch.setattr(engine_module, "PIECE_SECONDS", SILENCE)
+def short_idle_timeout(monkeypatch):
+    monkeypatch.setattr(
+        engine_module, "CHUNK_IDLE_TIMEOUT_SECONDS", IDLE_TIMEOUT_SECONDS
+    )
 
 
-def test_a_piece_that_moves_is_not_given_up():
-    # Guards against pieces begun anew over a full link with most of their bytes there.
-    assert piece_of(pieces=12, pause=SILENCE / 4, whole=True) == BODY
+def test_read_that_makes_progress_is_not_cancelled():
+    # Guards against reads that are cancelled on a saturated link with most of the chunk
+    # received, and then started anew.
+    assert (
+        read_chunk(parts=12, interval=IDLE_TIMEOUT_SECONDS / 4, complete=True) == BODY
+    )
 
 
-def test_a_piece_that_stands_still_is_given_up():
-    # Guards against a transfer that waits for a connection that has gone dark.
+def test_read_without_progress_is_cancelled():
+    # Guards against a transfer that waits on an unresponsive connection.
     with pytest.raises(PlatformUnavailable):
-        piece_of(pieces=3, pause=0.0, whole=False)
+        read_chunk(parts=3, interval=0.0, complete=False)
--- a/tests/adapter/test_report.py
+++ b/tests/adapter/test_report.py
@@ -1,4 +1,4 @@
-"""The report is read from the platform's store, by a command without settings."""
+"""The report command reads the platform's store and needs no settings file."""
 
 import base64
 import threading
@@ -11,7 +11,7 @@
 from wasabideck_policy.deliveries import Delivery, row_key
 
 
-def _delivery(vm, version, begun, in_force, source):
+def _delivery(vm, version, started_at, in_force, source):
     manifest = f"digest-{version}"
     return Delivery(
         vm,
@@ -21,13 +21,13 @@
         "m",
         str(version),
         manifest,
-        begun,
+        started_at,
         in_force=in_force,
         sources={source: 64},
     )
 
 
-DELIVERED = [
+DELIVERIES = [
     _delivery("vm-1", 2, 10.0, 18.5, "origin"),
     _delivery("vm-2", 2, 10.0, 19.0, "vm-1"),
     _delivery("vm-1", 3, 30.0, 37.0, "vm-2"),
@@ -36,8 +36,8 @@
 
 @pytest.fixture
 def store():
-    """A stand-in of the store whose rows are the deliveries, and one of nonsense."""
-    rows = [(row_key(d), orjson.dumps(asdict(d))) for d in DELIVERED]
+    """Address of a fake store with the rows of the deliveries and one malformed row."""
+    rows = [(row_key(d), orjson.dumps(asdict(d))) for d in DELIVERIES]
     rows.append(("zz", b"not ours"))
 
     class Handler(BaseHTTPRequestHandler):
@@ -76,20 +76,20 @@
     server.server_close()
 
 
-def test_a_manager_sees_who_got_which_weights_when_and_from_where(store, capsys):
+def test_report_shows_vm_weights_times_and_sources(store, capsys):
     main(["report", store, "--version", "2"])
-    shown = capsys.readouterr()
-    lines = shown.out.splitlines()
+    output = capsys.readouterr()
+    lines = output.out.splitlines()
     assert lines[0].split()[:3] == ["VM", "TICKET", "VERSION"]
     assert lines[1].split() == (
         ["vm-1", "2", "m", "2", "00:00:10.000", "-", "00:00:18.500", "origin", "64"]
     )
     assert lines[2].split()[-2:] == ["vm-1", "64"]
     assert len(lines) == 3
-    assert "wasabideck-deliveries/zz: (value) = b'not ours'" in shown.err
+    assert "wasabideck-deliveries/zz: (value) = b'not ours'" in output.err
 
 
-def test_a_report_of_one_vm_for_programs(store, capsys):
+def test_report_of_one_vm_as_json(store, capsys):
     main(["report", store, "--vm", "vm-1", "--json"])
     rows = orjson.loads(capsys.readouterr().out)
     assert [(row["version"], row["sources"]) for row in rows] == (
@@ -97,8 +97,8 @@
     )
 
 
-def test_a_store_that_is_away_is_one_clear_line(capsys):
-    with pytest.raises(SystemExit) as ended:
+def test_unreachable_store_is_an_error_with_its_address(capsys):
+    with pytest.raises(SystemExit) as exited:
         main(["report", "127.0.0.1:1"])
-    assert ended.value.code == 1
+    assert exited.value.code == 1
     assert "127.0.0.1:1" in capsys.readouterr().err
--- a/tests/adapter/test_rows.py
+++ b/tests/adapter/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows and settings of the platform, decoded into the product's types."""
+"""Decoding of the platform's rows, settings and headers into the product's types."""
 
 import json
 
@@ -68,12 +68,12 @@
     return Row("servers", "i-1", json.dumps(data).encode(), 5)
 
 
-def test_a_configuration_is_read_whole():
+def test_all_parts_of_a_configuration_are_decoded():
     cfg = read_configuration(json.dumps(CONFIGURATION).encode())
     assert cfg.number == 7
-    first = cfg.route("h.example", "/a/x")
-    assert (first.kind, first.timeout, first.pause) == (Kind.STREAM, 6.0, 0.3)
-    assert first.idempotent
+    route = cfg.route("h.example", "/a/x")
+    assert (route.kind, route.timeout, route.pause) == (Kind.STREAM, 6.0, 0.3)
+    assert route.idempotent
     assert cfg.route("h.example", "/a/b/c").shares == (("x", 90), ("y", 10))
     assert cfg.limits.header_bytes == 100
     assert cfg.limits.idle_seconds == 1.5
@@ -81,7 +81,7 @@
     assert cfg.origin().address == "172.20.0.3:8006"
 
 
-def test_a_server_entry_is_read():
+def test_server_row_is_decoded():
     listed = listed_of(server_row())
     assert listed.loaded == (Loaded("m", 2, 0, 16),)
     assert (listed.cold_seconds, listed.born, listed.leaving) == (1.5, 17, False)
@@ -103,14 +103,14 @@
         {"born": "yesterday"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_server(changes):
+def test_server_row_with_a_wrong_field_is_malformed(changes):
     with pytest.raises(Malformed) as caught:
         listed_of(server_row(**changes))
     assert caught.value.field
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"5", b"{"])
-def test_bytes_that_cannot_be_read_are_a_typed_error(value):
+def test_bytes_that_are_no_json_object_are_malformed(value):
     with pytest.raises(Malformed):
         listed_of(Row("servers", "i-1", value, 5))
     with pytest.raises(Malformed):
@@ -119,14 +119,14 @@
         declaration_of(Row("op", "config", value, 5))
 
 
-def test_a_server_that_is_loading_holds_nothing():
-    # While an engine loads, its entry says null for its layers. Taken for a list,
-    # that ended every agent at the same moment, in the middle of a rollout.
+def test_row_of_a_loading_server_may_have_null_layers():
+    # While an engine loads, the layers in its row are null. Code that expected a list
+    # terminated every agent at the same moment, in the middle of a rollout.
     assert listed_of(server_row(models=[], layers=None)).loaded == ()
     assert listed_of(server_row(layers=None)).loaded[0].version == 2
 
 
-def test_rows_of_the_operators_become_declarations():
+def test_operators_rows_are_decoded_into_declarations():
     value = json.dumps({"model": "m", "version": 3}).encode()
     declared = declaration_of(Row("op", "version/m", value, 9))
     assert (declared.key, declared.number) == ("weights/m", 3)
@@ -134,7 +134,7 @@
     assert declaration_of(Row("op", "config", b"", 9, removed=True)) is None
 
 
-def test_what_a_caller_may_not_say_is_dropped():
+def test_headers_that_callers_must_not_set_are_dropped():
     headers = [
         (b"Host", b"h.example:80"),
         (b"X-Request-Id", b"r"),
@@ -172,7 +172,7 @@
         assert line in sent
 
 
-def test_not_run_is_read_whatever_the_status():
+def test_response_headers_are_decoded_for_each_status():
     refused = WIRE.read_answer(503, [(b"X-Not-Executed", b"1")])
     assert refused.refused
     assert not WIRE.read_answer(503, []).refused
@@ -198,23 +198,23 @@
 }
 
 
-def write(tmp_path, data):
+def write_settings(tmp_path, data):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(data))
     return path
 
 
-def test_settings_are_read_and_new_fields_ignored(tmp_path):
-    cfg = read_settings(write(tmp_path, SETTINGS))
+def test_settings_are_decoded_and_unknown_fields_ignored(tmp_path):
+    cfg = read_settings(write_settings(tmp_path, SETTINGS))
     assert cfg.bounds.version == 9.0
     assert cfg.link_rate == 1_000_000
     assert cfg.inner_seeds() == ["10.2.0.37:7700"]
 
 
 @pytest.mark.parametrize("name", ["node", "ip", "zone", "provider", "port-range"])
-def test_a_missing_setting_is_named(tmp_path, name):
+def test_error_names_the_missing_setting(tmp_path, name):
     data = {key: value for key, value in SETTINGS.items() if key != name}
     with pytest.raises(Malformed) as caught:
-        read_settings(write(tmp_path, data))
+        read_settings(write_settings(tmp_path, data))
     assert caught.value.field == name
     assert "settings.json" in str(caught.value)
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -1,4 +1,4 @@
-"""Calls of the store over a link that is slow, or silent."""
+"""Calls of the store over a slow or an unresponsive connection."""
 
 import asyncio
 
@@ -9,30 +9,30 @@
 from wasabideck_base.http_pool import HttpPool, PooledClient
 
 BODY = b'{"rows": [], "ver": 7, "pad": "%s"}' % (b"x" * 400)
-SILENCE = 0.2
+IDLE_TIMEOUT_SECONDS = 0.2
 
 
-async def serving(pieces, pause, whole):
-    """A store that sends a part of its answer at a time, and may then fall silent."""
+async def start_slow_server(parts, interval, complete):
+    """Start a store that sends its response in parts, and may stall before the last."""
 
-    async def answer(reader, writer):
+    async def respond(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY))
-        size = len(BODY) // pieces + 1
-        for n in range(pieces):
-            if n == pieces - 1 and not whole:
+        part_bytes = len(BODY) // parts + 1
+        for n in range(parts):
+            if n == parts - 1 and not complete:
                 await asyncio.sleep(30)
-            writer.write(BODY[n * size : (n + 1) * size])
+            writer.write(BODY[n * part_bytes : (n + 1) * part_bytes])
             await writer.drain()
-            await asyncio.sleep(pause)
+            await asyncio.sleep(interval)
 
-    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    server = await asyncio.start_server(respond, "127.0.0.1", 0)
     return server, server.sockets[0].getsockname()[1]
 
 
-def read_of(pieces, pause, whole):
+def read_table(parts, interval, complete):
     async def run():
-        server, port = await serving(pieces, pause, whole)
+        server, port = await start_slow_server(parts, interval, complete)
         async with HttpPool() as pool:
             http = PooledClient(f"127.0.0.1:{port}", 3.0, pool)
             try:
@@ -45,26 +45,32 @@
 
 
 @pytest.fixture(autouse=True)
-def short_silence(monkeypatch):
-    monkeypatch.setattr(store_module, "ANSWER_SECONDS", SILENCE)
+def short_idle_timeout(monkeypatch):
+    monkeypatch.setattr(store_module, "IDLE_TIMEOUT_SECONDS", IDLE_TIMEOUT_SECONDS)
 
 
-def test_a_read_that_moves_is_not_given_up():
-    # All processes of a region read the operators' table at once over its thin link.
-    # Each gave up with most of the answer there, began anew, and none ever had it: a
-    # region without weights until somebody ended its agents.
-    assert read_of(pieces=12, pause=SILENCE / 4, whole=True).version == 7
+def test_read_that_makes_progress_is_not_cancelled():
+    # All processes of a region read the operators' table at the same time over the
+    # region's slow link. Each cancelled its read with most of the response received and
+    # started anew, so none completed: the region had no weights until its agents were
+    # terminated by hand.
+    assert (
+        read_table(parts=12, interval=IDLE_TIMEOUT_SECONDS / 4, complete=True).version
+        == 7
+    )
 
 
-def test_a_read_that_stands_still_is_given_up():
+def test_read_without_progress_is_cancelled():
     with pytest.raises(PlatformUnavailable):
-        read_of(pieces=3, pause=0.0, whole=False)
+        read_table(parts=3, interval=0.0, complete=False)
 
 
-def test_bytes_of_an_answer_are_counted_as_they_come():
-    # Guards against an answer on its way that looks like a silent connection.
+def test_bytes_of_a_response_are_counted_as_they_arrive():
+    # Guards against a response in transit that is taken for an unresponsive connection.
     async def run():
-        server, port = await serving(pieces=12, pause=SILENCE / 4, whole=True)
+        server, port = await start_slow_server(
+            parts=12, interval=IDLE_TIMEOUT_SECONDS / 4, complete=True
+        )
         async with HttpPool() as pool:
             http = PooledClient(f"127.0.0.1:{port}", 3.0, pool)
             client = StoreClient(http)
