--- a/packages/wasabideck_base/wasabideck_base/node_metrics.py
+++ b/packages/wasabideck_base/wasabideck_base/node_metrics.py
@@ -40,9 +40,9 @@
     registry: Registry = field(factory=Registry)
     events: Counter = field(init=False)
     requests: Counter = field(init=False)
-    seconds: Histogram = field(init=False)
-    first_seconds: Histogram = field(init=False)
-    number: Gauge = field(init=False)
+    request_seconds: Histogram = field(init=False)
+    first_event_seconds: Histogram = field(init=False)
+    declaration_number: Gauge = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Register every metric."""
@@ -51,19 +51,19 @@
         self.requests = Counter(
             "wasabideck_requests_total", "Requests ended, by outcome and reason.", **reg
         )
-        self.seconds = Histogram(
+        self.request_seconds = Histogram(
             "wasabideck_request_seconds",
             "Time from a request's first byte to its end.",
             buckets=LATENCY_BUCKETS_SECONDS,
             **reg,
         )
-        self.first_seconds = Histogram(
+        self.first_event_seconds = Histogram(
             "wasabideck_first_event_seconds",
             "Time from a request's first byte to its stream's first event.",
             buckets=LATENCY_BUCKETS_SECONDS,
             **reg,
         )
-        self.number = Gauge(
+        self.declaration_number = Gauge(
             "wasabideck_declaration_number",
             "Newest declaration, by what it is of.",
             **reg,
@@ -75,11 +75,13 @@
         if kind == "request.ended":
             reason = str(fields.get("reason", ""))
             self.requests.inc({"outcome": str(fields["outcome"]), "reason": reason})
-            self.seconds.observe({}, fields["seconds"])
+            self.request_seconds.observe({}, fields["seconds"])
             if fields.get("first") is not None:
-                self.first_seconds.observe({}, fields["first"])
+                self.first_event_seconds.observe({}, fields["first"])
         elif kind == "declaration.seen":
-            self.number.set({"of": str(fields["touched"])}, fields["number"])
+            self.declaration_number.set(
+                {"of": str(fields["touched"])}, fields["number"]
+            )
 
 
 async def listen_for_scrapes(
--- a/packages/wasabideck_base/wasabideck_base/servers.py
+++ b/packages/wasabideck_base/wasabideck_base/servers.py
@@ -62,7 +62,7 @@
         self.retry_after = retry_after
 
 
-# The version that an engine reports as being served.
+# What an engine reports that it serves.
 Loaded = Serving
 
 
@@ -94,7 +94,7 @@
     http: HttpClient
 
     async def loaded(self) -> Loaded:
-        """Return the version that the engine serves now."""
+        """Return what the engine serves now."""
         return Loaded(**await self.http.json("GET", "/v1/loaded"))
 
     async def staged(self, manifest: str) -> set[int]:
@@ -106,7 +106,7 @@
         await self.http.call("PUT", f"/v1/weights/{manifest}/{index}", data)
 
     async def order(self, desired: Loaded, chunks: Mapping[str, int]) -> Loaded:
-        """Order the engine to serve a version; return what it serves afterwards.
+        """Order the engine to serve ``desired``; return what it serves afterwards.
 
         ``chunks`` maps each manifest to its total number of chunks.
         """
@@ -197,7 +197,7 @@
     headers: dict[str, str],
     timeout: float,
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Yield a response of status 200; failures say whether it may have run."""
+    """Yield a 200 response; the type of a failure says if the request may have run."""
     client_timeout = aiohttp.ClientTimeout(total=max(timeout, 0.001))
     try:
         async with session.post(
--- a/packages/wasabideck_base/wasabideck_base/vocabulary.py
+++ b/packages/wasabideck_base/wasabideck_base/vocabulary.py
@@ -1,7 +1,7 @@
 """Vocabulary of events: all kinds that a process may write, and their meaning.
 
-The fields ``ticket``, ``request``, ``attempt`` and ``manifest`` identify the cause of an
-event and have the same value in all processes that are involved.
+The fields ``ticket``, ``request``, ``attempt`` and ``manifest`` identify the cause of
+an event and have the same value in all processes that are involved.
 
 ``docs/OPERATIONS.md`` repeats the texts of all kinds, and a test compares them.
 """
