--- a/packages/wasabideck_lab/wasabideck_lab/__init__.py
+++ b/packages/wasabideck_lab/wasabideck_lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, load generator and experiments (not shipped)."""
+"""Stand-ins, load generator and experiments; not part of the shipped product."""
--- a/packages/wasabideck_lab/wasabideck_lab/distribute.py
+++ b/packages/wasabideck_lab/wasabideck_lab/distribute.py
@@ -1,4 +1,4 @@
-"""The experiment of a rollout to N replicas, over real agents and paced links."""
+"""Experiment: a rollout to N replicas, with real agents and rate-limited links."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from .launcher import OPERATOR_TOKEN, Lab
 from .rollout import Plan, Run, lower_bound
 from .rollout_books import (
-    begun_at,
+    byte_increase,
+    count_per_chunk,
     delivery_rows,
+    first_transfer_started_at,
     fleet_cpu_seconds,
-    grown,
     link_bytes,
     mixed_models,
     origin_copies,
     p99_ratio,
-    per_chunk,
     region_copies,
     verified_at,
 )
@@ -41,29 +41,30 @@
 POLICIES = ("swarm", "random", "tree", "origin")
 SERVICE = "drafting"
 SERVICES = [{"name": SERVICE, "kind": "model"}]
-STARTS_AT_ONCE = 12
-ENTRIES = 2
-# Each engine host serves so many engines; their staging is not what is measured.
+MAX_CONCURRENT_STARTS = 12
+ENTRY_COUNT = 2
+# Engines per engine host process. They share processes because their staging is not
+# part of the measurement.
 ENGINES_PER_HOST = 43
-LIVE_PER_SECOND = 40.0
-LIMIT_FACTOR = 3.0
-LIMIT_SECONDS = 30.0
-KNOWN_SECONDS = 20.0
+LIVE_REQUESTS_PER_SECOND = 40.0
+MAX_TIME_TO_BOUND_RATIO = 3.0
+MIN_TIME_LIMIT_SECONDS = 30.0
+MAX_DISCOVERY_SECONDS = 20.0
 MEMBERS_LAG_SECONDS = 2.0
 
 
 async def run_distribute(plan: Plan) -> dict:
-    """Start the fleet, roll a version out, and measure it; one JSON object."""
+    """Start a fleet, roll out a version, and return the measurements as one row."""
     with tempfile.TemporaryDirectory() as folder:
-        run = _make(plan, Path(folder))
+        run = _create_run(plan, Path(folder))
         try:
-            await _start(run)
+            await _start_fleet(run)
             return await _measure(run)
         finally:
-            await _close(run)
+            await _shut_down(run)
 
 
-def _make(plan: Plan, folder: Path) -> Run:
+def _create_run(plan: Plan, folder: Path) -> Run:
     lab = Lab(folder, plan.seed, plan.origin_rate)
     manifest, chunks = make_weights(
         "drafter", "v2", plan.chunks, plan.chunk_bytes, plan.seed
@@ -77,31 +78,33 @@
     return Run(plan, lab, Traffic(entries, rng), rng, manifest)
 
 
-async def _start(run: Run) -> None:
+async def _start_fleet(run: Run) -> None:
     plan, lab = run.plan, run.lab
     await lab.start_platform()
     lab.members.faults.active["lag"] = MEMBERS_LAG_SECONDS
     first = lab.publish(*make_weights("drafter", "v1", 2, 1024, plan.seed))
-    for index in range(ENTRIES):
+    for index in range(ENTRY_COUNT):
         await lab.start_entry(f"entry-{index + 1}", SERVICES, region="region-1")
     run.vms = [f"draft-{index + 1:04d}" for index in range(plan.replicas)]
     urls = await _start_engines(run)
-    turns = asyncio.Semaphore(STARTS_AT_ONCE)
-    program = _corrupting(plan.corrupt) if plan.corrupt else ()
+    start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
+    command = _corrupting_agent_command(plan.corrupt) if plan.corrupt else ()
 
     async def start(index: int, vm: str) -> None:
-        async with turns:
+        async with start_slots:
             settings = _agent_settings(plan, urls[vm])
-            await lab.start_agent(vm, settings, program, region=run.region(index))
+            await lab.start_agent(vm, settings, command, region=run.region_of(index))
 
     await asyncio.gather(*(start(i, vm) for i, vm in enumerate(run.vms)))
-    _say(f"{len(run.vms)} agents run")
+    _log(f"{len(run.vms)} agents started")
     await _submit(run, 1, "v1", first)
-    await _wait(run, lambda: len(delivery_rows(run, 1)) == plan.replicas, 60.0, "v1")
+    await _wait_until(
+        run, lambda: len(delivery_rows(run, 1)) == plan.replicas, 60.0, "v1"
+    )
 
 
-def _corrupting(share: float) -> tuple[str, ...]:
-    return (sys.executable, "-m", "wasabideck_lab.faulty_agent", str(share))
+def _corrupting_agent_command(fraction: float) -> tuple[str, ...]:
+    return (sys.executable, "-m", "wasabideck_lab.faulty_agent", str(fraction))
 
 
 def _agent_settings(plan: Plan, url: str) -> dict:
@@ -111,7 +114,7 @@
         "weights": {
             "profile": plan.profile,
             "policy": plan.policy,
-            "link_rate": plan.machine_rate,
+            "link_rate": plan.vm_link_rate,
             "region_rate": plan.region_rate,
             "origin_region": "region-1" if plan.regions > 1 else "",
         },
@@ -119,15 +122,15 @@
 
 
 async def _start_engines(run: Run) -> dict[str, str]:
-    """Start the hosts of the engines' stand-ins; the engine's address by VM."""
+    """Start the processes of the engine stand-ins; return each engine's URL by VM."""
     manifests = {
         digest: manifest_to_json(manifest).decode()
         for digest, manifest in run.lab.manifests.items()
     }
     urls = {}
-    for begin in range(0, len(run.vms), ENGINES_PER_HOST):
-        vms = run.vms[begin : begin + ENGINES_PER_HOST]
-        child = await asyncio.create_subprocess_exec(
+    for first_index in range(0, len(run.vms), ENGINES_PER_HOST):
+        vms = run.vms[first_index : first_index + ENGINES_PER_HOST]
+        host_process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "wasabideck_lab.engine_host",
@@ -135,10 +138,12 @@
             stdout=asyncio.subprocess.PIPE,
             limit=1 << 24,
         )
-        run.children.append(child)
-        child.stdin.write(orjson.dumps({"vms": vms, "manifests": manifests}) + b"\n")
-        ready = orjson.loads(await child.stdout.readline())["ready"]
-        run.engine_hosts.append(ready["url"])
+        run.engine_host_processes.append(host_process)
+        host_process.stdin.write(
+            orjson.dumps({"vms": vms, "manifests": manifests}) + b"\n"
+        )
+        ready = orjson.loads(await host_process.stdout.readline())["ready"]
+        run.engine_host_urls.append(ready["url"])
         urls |= {vm: f"{ready['url']}/{vm}" for vm in vms}
     return urls
 
@@ -159,29 +164,30 @@
 
 async def _measure(run: Run) -> dict:
     for process in [p for vm, p in run.lab.processes.items() if "entry" in vm]:
-        await _wait_known(f"http://{process.http}")
-    live = asyncio.create_task(_live(run))
-    await asyncio.sleep(run.plan.live_before)
+        await _wait_until_serving(f"http://{process.http}")
+    live_traffic = asyncio.create_task(_send_live_requests(run))
+    await asyncio.sleep(run.plan.baseline_seconds)
     before = await link_bytes(run)
-    cpu = fleet_cpu_seconds(run)
-    # Wall and monotonic time of one moment: events carry the one, requests the other.
+    cpu_cores = fleet_cpu_seconds(run)
+    # Wall and monotonic time of the same moment: events contain wall times, and request
+    # results contain monotonic times.
     accepted, accepted_monotonic = time.time(), time.monotonic()
     await _submit(run, 2, "v2", run.manifest.digest)
-    faults = asyncio.create_task(_strike(run))
+    kill_task = asyncio.create_task(_kill_agents(run))
     bound = lower_bound(run.plan)
-    finished = await _wait_verified(run, _limit(run.plan))
-    live.cancel()
-    await faults
-    times = verified_at(run)
-    last = max(times.values(), default=math.nan)
-    cpu = (fleet_cpu_seconds(run) - cpu) / (time.time() - accepted)
+    finished = await _wait_verified(run, _time_limit_seconds(run.plan))
+    live_traffic.cancel()
+    await kill_task
+    verified_times = verified_at(run)
+    last_verified = max(verified_times.values(), default=math.nan)
+    cpu_cores = (fleet_cpu_seconds(run) - cpu_cores) / (time.time() - accepted)
     after = await link_bytes(run)
-    in_force = await _wait_in_force(run) if finished else 0.0
-    begun = begun_at(run)
-    links = {vm: grown(before.get(vm), row) for vm, row in after.items()}
-    copies = [(row["up"] + row["down"]) / run.plan.total for row in links.values()]
-    ended = last if finished else time.time()
-    window = (accepted_monotonic, accepted_monotonic + ended - accepted)
+    in_effect_at = await _wait_in_effect(run) if finished else 0.0
+    started = first_transfer_started_at(run)
+    links = {vm: byte_increase(before.get(vm), row) for vm, row in after.items()}
+    copies = [(row["up"] + row["down"]) / run.plan.copy_bytes for row in links.values()]
+    end_wall_time = last_verified if finished else time.time()
+    window = (accepted_monotonic, accepted_monotonic + end_wall_time - accepted)
     return {
         "policy": run.plan.policy,
         "profile": run.plan.profile,
@@ -193,126 +199,132 @@
         "kill": run.plan.kill,
         "corrupt": run.plan.corrupt,
         "finished": finished,
-        "verified": len(times),
-        "time_to_n_s": round(last - begun, 3) if finished else None,
-        "accepted_to_n_s": round(last - accepted, 3) if finished else None,
-        "in_force_s": round(in_force - accepted, 3) if in_force else None,
+        "verified": len(verified_times),
+        "time_to_n_s": round(last_verified - started, 3) if finished else None,
+        "accepted_to_n_s": round(last_verified - accepted, 3) if finished else None,
+        "in_force_s": round(in_effect_at - accepted, 3) if in_effect_at else None,
         "lower_bound_s": round(bound, 3),
-        "ratio": round((last - begun) / bound, 3) if finished else None,
+        "ratio": round((last_verified - started) / bound, 3) if finished else None,
         "origin_copies": round(origin_copies(run), 3),
         "inter_region_copies": round(region_copies(run), 3),
         "max_machine_link_copies": round(max(copies), 3),
         "max_machine_up_copies": round(
-            max(row["up"] for row in links.values()) / run.plan.total, 3
+            max(row["up"] for row in links.values()) / run.plan.copy_bytes, 3
         ),
         "live_p99_ratio": p99_ratio(run, window),
         "live_refused": dict(
             Counter(r.reason for r in run.traffic.results if r.outcome != "answered")
         ),
         "live": len(run.traffic.results),
-        "agents_cores": round(cpu, 2),
-        "asks_per_chunk": per_chunk(run, "asks"),
-        "refusals_per_chunk": per_chunk(run, "refusals"),
+        "agents_cores": round(cpu_cores, 2),
+        "asks_per_chunk": count_per_chunk(run, "asks"),
+        "refusals_per_chunk": count_per_chunk(run, "refusals"),
         "mixed": await mixed_models(run),
-        "curve": sorted(round(at - begun, 3) for at in times.values()),
+        "curve": sorted(round(at - started, 3) for at in verified_times.values()),
     }
 
 
-async def _wait_known(entry: str) -> None:
-    """Wait until all servers that an entry uses serve; it may use a subset."""
+async def _wait_until_serving(entry: str) -> None:
+    """Wait until all servers that an entry uses are serving; it may use a subset."""
     headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
-    limit = time.monotonic() + KNOWN_SECONDS
+    deadline = time.monotonic() + MAX_DISCOVERY_SECONDS
     async with aiohttp.ClientSession(entry) as session:
-        while time.monotonic() < limit:
-            async with session.get("/v1/fleet", headers=headers) as answer:
-                fleet = await answer.json()
+        while time.monotonic() < deadline:
+            async with session.get("/v1/fleet", headers=headers) as response:
+                fleet = await response.json()
             if fleet and all(server["serving"] for server in fleet):
                 return
             await asyncio.sleep(0.05)
-    raise TimeoutError(f"{entry} knows of servers that do not serve")
+    raise TimeoutError(f"{entry} still knows servers that are not serving")
 
 
-def _limit(plan: Plan) -> float:
-    """Seconds after which a run is given up.
+def _time_limit_seconds(plan: Plan) -> float:
+    """Return the seconds after which a run is aborted.
 
-    From the origin alone 64 replicas would take 32 times the bound.
+    Without this limit, a rollout to 64 replicas from the origin alone would take 32
+    times the lower bound.
     """
-    return max(LIMIT_FACTOR * lower_bound(plan), LIMIT_SECONDS)
+    return max(MAX_TIME_TO_BOUND_RATIO * lower_bound(plan), MIN_TIME_LIMIT_SECONDS)
 
 
-async def _live(run: Run) -> None:
-    """Send live requests at a steady rate until cancelled."""
+async def _send_live_requests(run: Run) -> None:
+    """Send live requests at a constant rate until cancelled."""
     async with aiohttp.ClientSession() as session, asyncio.TaskGroup() as group:
         for index in range(1 << 30):
             send = run.traffic.send(session, SERVICE, "brief", f"{index}", f"k-{index}")
             group.create_task(send)
-            await asyncio.sleep(1 / LIVE_PER_SECOND)
+            await asyncio.sleep(1 / LIVE_REQUESTS_PER_SECOND)
 
 
-async def _strike(run: Run) -> None:
-    """Kill the plan's share of the agents, over the middle of the transfer."""
+async def _kill_agents(run: Run) -> None:
+    """Kill the plan's fraction of the agents, over the middle of the transfer."""
     count = round(run.plan.kill * run.plan.replicas)
-    span = lower_bound(run.plan)
+    bound = lower_bound(run.plan)
     victims = run.rng.sample(run.vms, count)
-    moments = sorted(run.rng.uniform(0.1, 0.7) * span for _ in victims)
-    begun = time.monotonic()
-    for vm, moment in zip(victims, moments, strict=True):
-        await asyncio.sleep(max(0.0, begun + moment - time.monotonic()))
+    kill_delays = sorted(run.rng.uniform(0.1, 0.7) * bound for _ in victims)
+    started = time.monotonic()
+    for vm, delay in zip(victims, kill_delays, strict=True):
+        await asyncio.sleep(max(0.0, started + delay - time.monotonic()))
         run.killed.add(vm)
         run.lab.processes[vm].kill()
         run.lab.members.remove(vm)
-        _say(f"killed {vm}")
+        _log(f"killed {vm}")
 
 
 async def _wait_verified(run: Run, seconds: float) -> bool:
-    victims = round(run.plan.kill * run.plan.replicas)
-    last = -1
+    victim_count = round(run.plan.kill * run.plan.replicas)
+    last_logged = -1
 
-    def done() -> bool:
-        nonlocal last
+    def condition() -> bool:
+        nonlocal last_logged
         found = len(verified_at(run))
-        if found != last:
-            _say(f"{found} of {run.plan.replicas} verified")
-        last = found
-        alive = run.plan.replicas - len(run.killed)
-        return found >= alive and len(run.killed) == victims
+        if found != last_logged:
+            _log(f"{found} of {run.plan.replicas} verified")
+        last_logged = found
+        running = run.plan.replicas - len(run.killed)
+        return found >= running and len(run.killed) == victim_count
 
-    return await _wait(run, done, seconds, "", 1.0)
+    return await _wait_until(run, condition, seconds, "", 1.0)
 
 
-async def _wait_in_force(run: Run) -> float:
-    """Wall time at which the last VM's engine served; 0 if some did not."""
-    alive = set(run.vms) - run.killed
+async def _wait_in_effect(run: Run) -> float:
+    """Return the wall time at which the last engine served version 2.
+
+    Returns 0 if some engine doesn't serve it in time.
+    """
+    running = set(run.vms) - run.killed
 
-    def done() -> bool:
+    def condition() -> bool:
         rows = delivery_rows(run, 2)
-        return all(vm in rows and rows[vm]["in_force"] for vm in alive)
+        return all(vm in rows and rows[vm]["in_force"] for vm in running)
 
-    if not await _wait(run, done, LIMIT_SECONDS, "", 0.2):
+    if not await _wait_until(run, condition, MIN_TIME_LIMIT_SECONDS, "", 0.2):
         return 0.0
     return max(row["in_force"] for row in delivery_rows(run, 2).values())
 
 
-async def _wait(run: Run, done, seconds: float, what: str, step: float = 0.2) -> bool:
-    limit = time.monotonic() + seconds
-    while not done():
-        if time.monotonic() > limit:
-            if what:
-                raise TimeoutError(what)
+async def _wait_until(
+    run: Run, condition, seconds: float, error_text: str, interval: float = 0.2
+) -> bool:
+    deadline = time.monotonic() + seconds
+    while not condition():
+        if time.monotonic() > deadline:
+            if error_text:
+                raise TimeoutError(error_text)
             return False
-        await asyncio.sleep(step)
+        await asyncio.sleep(interval)
     return True
 
 
-async def _close(run: Run) -> None:
+async def _shut_down(run: Run) -> None:
     for vm in set(run.vms) & run.lab.processes.keys() - run.killed:
         with contextlib.suppress(ProcessLookupError):
             run.lab.processes[vm].kill()
     await run.lab.close()
-    for child in run.children:
-        child.terminate()
-        await child.wait()
+    for host_process in run.engine_host_processes:
+        host_process.terminate()
+        await host_process.wait()
 
 
-def _say(text: str) -> None:
+def _log(text: str) -> None:
     print(f"distribute: {text}", file=sys.stderr, flush=True)
--- a/packages/wasabideck_lab/wasabideck_lab/distribute_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/distribute_command.py
@@ -10,7 +10,7 @@
 
 from .decisions import measure_decisions
 from .distribute import POLICIES, run_distribute
-from .plot import draw
+from .plot import draw_svg
 from .rollout import Plan
 
 __all__ = ["decisions", "distribute"]
@@ -28,31 +28,31 @@
     json: bool = False,
     plot: str = "",
 ) -> None:
-    """Roll weights out to N replicas over paced links, and measure it.
+    """Roll out weights to N replicas over rate-limited links, and measure it.
 
     Parameters
     ----------
     replicas, regions : int
-        Agents that are started, and the regions that they are spread over.
+        Number of agents, and number of regions that the agents are spread over.
     profile : str
         ``time`` or ``origin-bytes``.
     policy : str
-        ``swarm``, a baseline (``origin``, ``tree``, ``random``), several with
-        commas between them, or ``all``.
+        ``swarm``, a baseline (``origin``, ``tree``, ``random``), several of them
+        separated by commas, or ``all``.
     faults : str
-        Such as ``kill=0.1,corrupt=0.01``: share of agents killed, and of the
-        chunks sent with a flipped byte.
+        For example ``kill=0.1,corrupt=0.01``: fraction of the agents that are killed,
+        and fraction of the chunks that are sent with a flipped byte.
     copy_seconds : float
-        Time in which a machine's link carries one copy.
+        Time in which the link of a VM carries one copy of the weights.
     json : bool
-        Print one JSON object a run.
+        Print one JSON object per run.
     plot : str
-        File for a picture (SVG) of replicas over time.
+        Path of an SVG file to write, with a plot of verified replicas over time.
     """
-    shares = [fault.split("=") for fault in faults.split(",") if fault]
-    struck = {name: float(share) for name, share in shares}
-    if unknown := set(struck) - {"kill", "corrupt"}:
-        sys.exit(f"distribute: no fault {sorted(unknown)}; kill, corrupt")
+    name_values = [fault.split("=") for fault in faults.split(",") if fault]
+    fault_fractions = {name: float(fraction) for name, fraction in name_values}
+    if unknown := set(fault_fractions) - {"kill", "corrupt"}:
+        sys.exit(f"distribute: unknown faults {sorted(unknown)}; known: kill, corrupt")
     names = policy.split(",")
     names = POLICIES if policy == "all" else names
     rows = []
@@ -65,16 +65,18 @@
             seed,
             chunks,
             copy_seconds=copy_seconds,
-            **struck,
+            **fault_fractions,
         )
         rows.append(asyncio.run(run_distribute(plan)))
-        shown = {k: v for k, v in rows[-1].items() if k != "curve"}
-        print(orjson.dumps(shown).decode() if json else shown, flush=True)
+        without_curve = {k: v for k, v in rows[-1].items() if k != "curve"}
+        print(
+            orjson.dumps(without_curve).decode() if json else without_curve, flush=True
+        )
     if plot:
-        Path(plot).write_text(draw(rows))
+        Path(plot).write_text(draw_svg(rows))
 
 
 def decisions(seed: int = 1, json: bool = False) -> None:
-    """Measure what the decisions of one transfer cost, at 16 to 2,100 known VMs."""
+    """Measure the cost of the decisions of one transfer, with 16 to 2,100 known VMs."""
     for row in measure_decisions(seed):
         print(orjson.dumps(row).decode() if json else row, flush=True)
--- a/packages/wasabideck_lab/wasabideck_lab/load.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load.py
@@ -1,7 +1,8 @@
-"""The load generator: an open loop against the real binaries on loopback.
+"""Open-loop load generator that runs against the real binaries on loopback.
 
-Every request is sent when it is due, whatever became of those before it, and its
-times count from then: a slow system cannot slow its own measurement down.
+Each request is sent at its due time, whether or not earlier requests have ended, and
+its latencies are measured from that due time. A slow system therefore cannot slow down
+its own measurement (no coordinated omission).
 """
 
 from __future__ import annotations
@@ -19,26 +20,35 @@
 
 from .demo import first_ticket, submit, wait_in_force, wait_serving
 from .launcher import Lab
-from .load_mix import CAPACITY, DEPLOYMENTS, SHARES, TOKENS, Arrival, Deployment
+from .load_mix import (
+    DEPLOYMENTS,
+    ENGINE_CAPACITY,
+    ORGANISATION_SHARES,
+    TOKENS_PER_RESPONSE,
+    Arrival,
+    Deployment,
+)
 from .load_mix import arrivals as draw_arrivals
-from .load_report import Seen, summary
+from .load_report import RequestRecord, summarize
 from .standin_batch import Batch
 from .weights import make_weights
 
 __all__ = ["LOAD_FAULTS", "run_load"]
 
-CHUNKS = 16
+CHUNK_COUNT = 16
 CHUNK_BYTES = 4096
-GRACE_SECONDS = 3.0
-# Caches are cold and reports empty at first; these requests are sent, not counted.
-WARM_SECONDS = 3.0
-PLAIN_SECONDS = 0.02
-PLAIN_SLOTS = 4
+# Time beyond a request's deadline after which the client stops waiting.
+CLIENT_GRACE_SECONDS = 3.0
+# Requests due in this period are sent but not counted: at first, the prefix caches are
+# cold and there are no load reports.
+WARMUP_SECONDS = 3.0
+PLAIN_CALL_SECONDS = 0.02
+PLAIN_SLOT_COUNT = 4
 
 
 @define
-class _Run:
-    """One fleet under load."""
+class _LoadRun:
+    """A load run against one fleet of processes."""
 
     deployment: Deployment
     lab: Lab
@@ -46,139 +56,155 @@
     sessions: list[aiohttp.ClientSession] = field(factory=list)
     notes: dict[str, float] = field(factory=dict)
 
-    def entries(self) -> list[str]:
-        """Names of the entries, one a region."""
+    def entry_vms(self) -> list[str]:
+        """Return the VM names of the entries, one per region."""
         return [f"entry-{i}" for i in range(len(self.deployment.regions))]
 
-    def engines(self) -> list[str]:
-        """Names of the drafting servers."""
+    def engine_vms(self) -> list[str]:
+        """Return the VM names of the drafting servers."""
         return [f"draft-{i}" for i in range(self.deployment.drafting)]
 
-    def servers(self) -> int:
-        """How many backend servers there are."""
+    def server_count(self) -> int:
+        """Return the number of backend servers."""
         return self.deployment.drafting + sum(self.deployment.plain.values())
 
     async def start(self, policy: str, seed: int) -> None:
-        """Start the fleet, and wait until ticket 1 is served everywhere."""
+        """Start the fleet and wait until every server serves ticket 1."""
         lab, deployment = self.lab, self.deployment
         lab.entry_settings = {"routing": policy, "callers": _callers()}
-        lab.server_settings = {"drafting": {"capacity": CAPACITY}}
+        lab.server_settings = {"drafting": {"capacity": ENGINE_CAPACITY}}
         for service, servers in deployment.plain.items():
-            # The one server of its kind is the one that reports no load.
+            # The service that has a single server is the one that reports no load.
             if servers == 1:
                 lab.server_settings[service] = {"reports_load": False, "capacity": 32}
         await lab.start_platform()
-        digest = lab.publish(*make_weights("drafter", "v1", CHUNKS, CHUNK_BYTES, seed))
+        digest = lab.publish(
+            *make_weights("drafter", "v1", CHUNK_COUNT, CHUNK_BYTES, seed)
+        )
         services = deployment.services()
-        places = [_place(region) for region in deployment.regions]
-        for vm, place in zip(self.entries(), places, strict=True):
-            await lab.start_entry(vm, services, **place)
-        for index, vm in enumerate(self.engines()):
-            await lab.start_engine_vm(vm, "drafting", **places[index % len(places)])
+        locations = [_location(region) for region in deployment.regions]
+        for vm, location in zip(self.entry_vms(), locations, strict=True):
+            await lab.start_entry(vm, services, **location)
+        for index, vm in enumerate(self.engine_vms()):
+            await lab.start_engine_vm(
+                vm, "drafting", **locations[index % len(locations)]
+            )
         for service, count in deployment.plain.items():
             for i in range(count):
                 vm = f"{service}-{i}"
-                await lab.start_plain_vm(vm, service, **places[i % len(places)])
-        self._set_costs()
+                await lab.start_plain_vm(vm, service, **locations[i % len(locations)])
+        self._set_service_times()
         async with self.session(0) as session:
             await submit(session, first_ticket(lab.folder, digest))
             await wait_in_force(session, 1, deployment.drafting)
-        for region in range(len(places)):
+        for region in range(len(locations)):
             async with self.session(region) as session:
-                await wait_serving(session, self.servers())
+                await wait_serving(session, self.server_count())
 
-    def _set_costs(self) -> None:
-        pairs = zip(self.lab.engines.values(), self.deployment.speeds(), strict=True)
+    def _set_service_times(self) -> None:
+        pairs = zip(
+            self.lab.engines.values(), self.deployment.engine_speeds(), strict=True
+        )
         for engine, speed in pairs:
-            engine.batch = Batch(self.deployment.costs, CAPACITY, speed)
-            engine.tokens = TOKENS
+            engine.batch = Batch(self.deployment.costs, ENGINE_CAPACITY, speed)
+            engine.tokens = TOKENS_PER_RESPONSE
         for plain in self.lab.plains.values():
-            plain.seconds = PLAIN_SECONDS
-            plain.slots = asyncio.Semaphore(PLAIN_SLOTS)
+            plain.seconds = PLAIN_CALL_SECONDS
+            plain.slots = asyncio.Semaphore(PLAIN_SLOT_COUNT)
 
     def session(self, region: int) -> aiohttp.ClientSession:
-        """A client session towards the entry of a region."""
+        """Return a client session that connects to the entry of a region."""
         http = self.lab.processes[f"entry-{region}"].http
         connector = aiohttp.TCPConnector(limit=0)
         return aiohttp.ClientSession(f"http://{http}", connector=connector)
 
-    async def drive(self, plan: list[Arrival]) -> list[Seen]:
-        """Send every request when it is due; what all callers saw."""
+    async def send_all(self, arrivals: list[Arrival]) -> list[RequestRecord]:
+        """Send each request at its due time, and return one record per request."""
         self.sessions = [self.session(i) for i in range(len(self.deployment.regions))]
-        begun = time.monotonic()
+        started = time.monotonic()
         tasks = []
-        for arrival in plan:
-            await asyncio.sleep(max(0.0, begun + arrival.due - time.monotonic()))
-            tasks.append(asyncio.create_task(_send(self.sessions, arrival, begun)))
-        seen = await asyncio.gather(*tasks)
+        for arrival in arrivals:
+            await asyncio.sleep(max(0.0, started + arrival.due - time.monotonic()))
+            tasks.append(
+                asyncio.create_task(_send_request(self.sessions, arrival, started))
+            )
+        records = await asyncio.gather(*tasks)
         for session in self.sessions:
             await session.close()
-        return seen
+        return records
 
 
-async def _send(
-    sessions: list[aiohttp.ClientSession], arrival: Arrival, begun: float
-) -> Seen:
-    """One request; the balancer's part is to pass over entries that are down."""
-    seen = Seen(arrival)
-    for turn in range(len(sessions)):
-        session = sessions[(arrival.region + turn) % len(sessions)]
+async def _send_request(
+    sessions: list[aiohttp.ClientSession], arrival: Arrival, started: float
+) -> RequestRecord:
+    """Send one request, skipping entries that are down as a load balancer does."""
+    record = RequestRecord(arrival)
+    for offset in range(len(sessions)):
+        session = sessions[(arrival.region + offset) % len(sessions)]
         try:
-            await _post(session, seen, begun + arrival.due)
+            await _post(session, record, started + arrival.due)
             break
         except aiohttp.ClientConnectorError:
-            seen.reason = "NoEntry"
+            record.reason = "NoEntry"
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            seen.reason = type(exc).__name__
+            record.reason = type(exc).__name__
             break
-    seen.end = time.monotonic() - begun - arrival.due
-    return seen
+    record.total_seconds = time.monotonic() - started - arrival.due
+    return record
 
 
-async def _post(session: aiohttp.ClientSession, seen: Seen, due: float) -> None:
-    arrival, kind = seen.arrival, seen.arrival.kind
+async def _post(
+    session: aiohttp.ClientSession, record: RequestRecord, due: float
+) -> None:
+    arrival, kind = record.arrival, record.arrival.kind
     headers = {
         "authorization": f"Bearer {_token(arrival.organisation)}",
         "idempotency-key": arrival.key,
         "x-deadline-ms": str(int(kind.deadline * 1000)),
     }
     path = f"/v1/services/{kind.service}/{kind.route}"
-    limit = aiohttp.ClientTimeout(total=kind.deadline + GRACE_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=kind.deadline + CLIENT_GRACE_SECONDS)
     body = arrival.body.encode()
-    last = 0.0
-    async with session.post(path, data=body, headers=headers, timeout=limit) as answer:
-        async for line in answer.content:
+    last_event_at = 0.0
+    async with session.post(
+        path, data=body, headers=headers, timeout=timeout
+    ) as response:
+        async for line in response.content:
             now = time.monotonic() - due
             row = orjson.loads(line)
             if "text" in row:
-                seen.gaps += [now - last] if seen.first is not None else []
-                seen.first = now if seen.first is None else seen.first
-                last = now
+                record.gap_seconds += (
+                    [now - last_event_at] if record.first_seconds is not None else []
+                )
+                record.first_seconds = (
+                    now if record.first_seconds is None else record.first_seconds
+                )
+                last_event_at = now
             elif "outcome" in row:
-                seen.outcome, seen.reason = row["outcome"], row.get("reason", "")
+                record.outcome, record.reason = row["outcome"], row.get("reason", "")
 
 
-Fault = Callable[[_Run], Awaitable[None]]
+Fault = Callable[[_LoadRun], Awaitable[None]]
 
 
-async def _no_fault(run: _Run) -> None:
-    """Nothing fails."""
+async def _no_fault(run: _LoadRun) -> None:
+    """Inject no fault."""
 
 
-async def _load_lag(run: _Run) -> None:
-    """Every load report is 2 s old."""
+async def _load_lag(run: _LoadRun) -> None:
+    """Make every load report 2 s old."""
     for engine in run.lab.engines.values():
         engine.faults.active["load_lag"] = 2.0
 
 
-async def _cache_gaps(run: _Run) -> None:
-    """Half of the cache events are never told."""
+async def _cache_gaps(run: _LoadRun) -> None:
+    """Make engines omit half of their cache events."""
     for engine in run.lab.engines.values():
         engine.faults.active["cache_gaps"] = 0.5
 
 
-async def _outage(run: _Run) -> None:
-    """Every drafting engine answers 503 in the middle third."""
+async def _outage(run: _LoadRun) -> None:
+    """Make every drafting engine respond 503 in the middle third of the run."""
     await asyncio.sleep(run.seconds / 3)
     for engine in run.lab.engines.values():
         engine.faults.active["down"] = 1.0
@@ -187,16 +213,16 @@
         engine.faults.active.pop("down")
 
 
-async def _freeze(run: _Run) -> None:
-    """One drafting agent stops for the middle third, and then goes on."""
+async def _freeze(run: _LoadRun) -> None:
+    """Suspend one drafting agent in the middle third of the run, then resume it."""
     await asyncio.sleep(run.seconds / 3)
     run.lab.processes["draft-0"].freeze()
     await asyncio.sleep(run.seconds / 3)
     run.lab.processes["draft-0"].thaw()
 
 
-async def _store_down(run: _Run) -> None:
-    """Table and membership list are down for the middle third."""
+async def _store_down(run: _LoadRun) -> None:
+    """Make the table and the membership list unavailable in the middle third."""
     await asyncio.sleep(run.seconds / 3)
     for standin in (run.lab.table, run.lab.members):
         standin.faults.active["down"] = 1.0
@@ -205,21 +231,21 @@
         standin.faults.active.pop("down")
 
 
-async def _entry_restart(run: _Run) -> None:
-    """With the table down, an entry dies and another one starts in its place."""
+async def _entry_restart(run: _LoadRun) -> None:
+    """Kill an entry while the table is down, and start a new process on its VM."""
     await asyncio.sleep(run.seconds / 3)
     run.lab.table.faults.active["down"] = 1.0
-    old = run.lab.processes["entry-0"]
-    old.kill()
-    await old.process.wait()
-    begun = time.monotonic()
+    entry = run.lab.processes["entry-0"]
+    entry.kill()
+    await entry.process.wait()
+    started = time.monotonic()
     services, region = run.deployment.services(), run.deployment.regions[0]
-    await run.lab.start_entry("entry-0", services, **_place(region))
-    run.notes["started_seconds"] = round(time.monotonic() - begun, 2)
+    await run.lab.start_entry("entry-0", services, **_location(region))
+    run.notes["started_seconds"] = round(time.monotonic() - started, 2)
     await run.sessions[0].close()
     run.sessions[0] = run.session(0)
-    await wait_serving(run.sessions[0], run.servers())
-    run.notes["useful_seconds"] = round(time.monotonic() - begun, 2)
+    await wait_serving(run.sessions[0], run.server_count())
+    run.notes["useful_seconds"] = round(time.monotonic() - started, 2)
     await asyncio.sleep(run.seconds / 3)
     run.lab.table.faults.active.pop("down")
 
@@ -238,23 +264,23 @@
 async def run_load(
     deployment: str, policy: str, burst: float, fault: str, seconds: float, seed: int
 ) -> dict:
-    """Figures of one run against a fresh fleet."""
-    chosen = DEPLOYMENTS[deployment]
+    """Run a load test against a new fleet, and return its results as one row."""
+    selected = DEPLOYMENTS[deployment]
     rng = random.Random(f"{seed}/{burst}")
-    plan = list(draw_arrivals(chosen, burst, WARM_SECONDS + seconds, rng))
+    arrivals = list(draw_arrivals(selected, burst, WARMUP_SECONDS + seconds, rng))
     with tempfile.TemporaryDirectory() as folder:
-        run = _Run(chosen, Lab(Path(folder), seed), seconds)
+        run = _LoadRun(selected, Lab(Path(folder), seed), seconds)
         try:
             await run.start(policy, seed)
             reads: list[int] = []
-            watching = asyncio.create_task(_count_reads(run, reads))
-            striking = asyncio.create_task(_strike(run, fault))
-            seen = await run.drive(plan)
-            await striking
-            watching.cancel()
+            read_counter = asyncio.create_task(_count_reads(run, reads))
+            fault_task = asyncio.create_task(_inject_fault(run, fault))
+            records = await run.send_all(arrivals)
+            await fault_task
+            read_counter.cancel()
         finally:
-            codes = await run.lab.close()
-        attempts = _attempts(run)
+            exit_codes = await run.lab.close()
+        attempts = _count_attempts(run)
     row = {
         "deployment": deployment,
         "policy": policy,
@@ -262,33 +288,33 @@
         "fault": fault,
         "seconds": seconds,
         "seed": seed,
-        "capacity": round(chosen.capacity(), 1),
+        "capacity": round(selected.drafting_capacity(), 1),
     }
-    counted = [s for s in seen if s.arrival.due >= WARM_SECONDS]
-    row |= summary(counted, seconds) | _spread(run)
-    row["attempts_per_request"] = round(attempts / max(1, len(seen)), 3)
+    counted = [r for r in records if r.arrival.due >= WARMUP_SECONDS]
+    row |= summarize(counted, seconds) | _engine_figures(run)
+    row["attempts_per_request"] = round(attempts / max(1, len(records)), 3)
     row["store_reads_per_second"] = round(sum(reads) / max(1, len(reads)), 1)
     row["most_store_reads_in_a_second"] = max(reads, default=0)
     row["notes"] = run.notes
-    row["bad_exits"] = {vm: code for vm, code in codes.items() if code}
+    row["bad_exits"] = {vm: code for vm, code in exit_codes.items() if code}
     return row
 
 
-async def _count_reads(run: _Run, reads: list[int]) -> None:
-    """Append the reads of the table and of the list in each second."""
+async def _count_reads(run: _LoadRun, reads: list[int]) -> None:
+    """Append the number of reads of the table and membership list in each second."""
     while True:
         before = run.lab.table.reads + run.lab.members.reads
         await asyncio.sleep(1.0)
         reads.append(run.lab.table.reads + run.lab.members.reads - before)
 
 
-async def _strike(run: _Run, fault: str) -> None:
-    await asyncio.sleep(WARM_SECONDS)
+async def _inject_fault(run: _LoadRun, fault: str) -> None:
+    await asyncio.sleep(WARMUP_SECONDS)
     await LOAD_FAULTS[fault](run)
 
 
-def _spread(run: _Run) -> dict:
-    engines = [run.lab.engines[vm] for vm in run.engines()]
+def _engine_figures(run: _LoadRun) -> dict:
+    engines = [run.lab.engines[vm] for vm in run.engine_vms()]
     runs = [sum(engine.runs.values()) for engine in engines]
     hits = sum(engine.batch.hits for engine in engines)
     misses = sum(engine.batch.misses for engine in engines)
@@ -299,12 +325,12 @@
     }
 
 
-def _attempts(run: _Run) -> int:
-    texts = (run.lab.processes[vm].events.read_text() for vm in run.entries())
+def _count_attempts(run: _LoadRun) -> int:
+    texts = (run.lab.processes[vm].events.read_text() for vm in run.entry_vms())
     return sum(text.count('"attempt.sent"') for text in texts)
 
 
-def _place(region: str) -> dict[str, str]:
+def _location(region: str) -> dict[str, str]:
     return {"region": region, "data_centre": f"{region}-1"}
 
 
@@ -313,5 +339,5 @@
 
 
 def _callers() -> list[dict]:
-    names = [f"org-{index}" for index in range(len(SHARES))]
+    names = [f"org-{index}" for index in range(len(ORGANISATION_SHARES))]
     return [{"organisation": name, "token": _token(name)} for name in names]
--- a/packages/wasabideck_lab/wasabideck_lab/load_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load_command.py
@@ -25,51 +25,55 @@
     seed: int = 1,
     json: bool = False,
 ) -> None:
-    """Drive a deployment with an open loop, and print what callers saw.
+    """Send open-loop load to a deployment, and print the results seen by callers.
 
     Parameters
     ----------
     deployment : str
         ``printing`` or ``rent``.
     policy : str
-        Routing policies, with commas between them; ``all`` is every one.
+        Routing policies, separated by commas; ``all`` selects every policy.
     burst : str or float
-        Arrivals over capacity; several with commas between them.
+        Arrival rate as a multiple of the capacity; several are separated by commas.
     faults : str
-        Faults, with commas between them.
+        Faults, separated by commas.
     seconds : float
-        Length of each run.
+        Duration of each run.
     seed : int
-        Seed of arrivals and faults.
+        Seed of the arrivals and the faults.
     json : bool
-        Print one JSON object a run.
+        Print one JSON object per run.
     """
-    policies = list(POLICIES) if policy == "all" else _names(policy)
-    _check("deployment", {deployment}, DEPLOYMENTS)
-    _check("policy", set(policies), POLICIES)
-    _check("faults", set(_names(faults)), LOAD_FAULTS)
-    bursts = [float(value) for value in _names(burst)]
-    for fault, times, name in itertools.product(_names(faults), bursts, policies):
-        row = run_load(deployment, name, times, fault, seconds, seed)
-        print(_shown(asyncio.run(row), json), flush=True)
+    policies = list(POLICIES) if policy == "all" else _split_names(policy)
+    _check_names("deployment", {deployment}, DEPLOYMENTS)
+    _check_names("policy", set(policies), POLICIES)
+    _check_names("faults", set(_split_names(faults)), LOAD_FAULTS)
+    bursts = [float(value) for value in _split_names(burst)]
+    for fault, multiple, name in itertools.product(
+        _split_names(faults), bursts, policies
+    ):
+        row = run_load(deployment, name, multiple, fault, seconds, seed)
+        print(_format_row(asyncio.run(row), json), flush=True)
 
 
-def _names(text: object) -> list[str]:
-    # fire makes a tuple of values with commas between them.
+def _split_names(text: object) -> list[str]:
+    # fire converts comma-separated values to a tuple.
     parts = text if isinstance(text, tuple) else str(text).split(",")
     return [str(part) for part in parts]
 
 
-def _check(what: str, names: set[str], known: Iterable[str]) -> None:
+def _check_names(option: str, names: set[str], known: Iterable[str]) -> None:
     if unknown := names - set(known):
-        sys.exit(f"load: no {what} {sorted(unknown)}; {sorted(known)}")
+        sys.exit(f"load: unknown {option} {sorted(unknown)}; known: {sorted(known)}")
 
 
-def _shown(row: dict, json: bool) -> str:
+def _format_row(row: dict, json: bool) -> str:
     if json:
         return orjson.dumps(row).decode()
-    short = {k: v for k, v in row.items() if k not in ("classes", "organisations")}
-    lines = [str(short)]
+    without_groups = {
+        k: v for k, v in row.items() if k not in ("classes", "organisations")
+    }
+    lines = [str(without_groups)]
     for name, group in (row["classes"] | row["organisations"]).items():
         lines.append(f"  {name:<22} {group}")
     return "\n".join(lines)
--- a/packages/wasabideck_lab/wasabideck_lab/load_mix.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load_mix.py
@@ -1,4 +1,4 @@
-"""Whose requests come when: the deployments' services, organisations and arrivals."""
+"""Simulated deployments and the arrivals of their organisations' requests."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from .standin_batch import PREFIX_BYTES, Costs
 
-__all__ = ["DEPLOYMENTS", "Arrival", "Deployment", "Kind", "arrivals"]
+__all__ = ["DEPLOYMENTS", "Arrival", "Deployment", "RequestKind", "arrivals"]
 
-TOKENS = 12
-CAPACITY = 8
-SLOW_SPEED = 0.5
-# Half the prompts are taken to find their prefix cached, so that the rate does not
-# depend on the routing policy.
-MEAN_CHUNKS = 2.5
-TEMPLATES = 4
-# A few large organisations among ten.
-SHARES = (0.28, 0.22, 0.18, 0.07, 0.06, 0.05, 0.04, 0.04, 0.03, 0.03)
+TOKENS_PER_RESPONSE = 12
+ENGINE_CAPACITY = 8
+SLOW_ENGINE_SPEED = 0.5
+# Assumes that half of the prompts find their prefix cached, so that the arrival rate
+# does not depend on the routing policy.
+MEAN_PROMPT_CHUNKS = 2.5
+TEMPLATES_PER_ROUTE = 4
+# Shares of the arrivals: ten organisations, a few of them large.
+ORGANISATION_SHARES = (0.28, 0.22, 0.18, 0.07, 0.06, 0.05, 0.04, 0.04, 0.03, 0.03)
 
 
 @frozen
-class Kind:
-    """One kind of request: its route, urgency, and share of the arrivals."""
+class RequestKind:
+    """A kind of request: its route, its priority and its share of the arrivals."""
 
     service: str
     route: str
@@ -35,45 +35,47 @@
 
     @property
     def label(self) -> str:
-        """Name in the results."""
+        """Return the name used in the results."""
         return f"{self.service}/{self.route}"
 
 
 @frozen
 class Deployment:
-    """Services and their servers, as the users gave them."""
+    """A user's services and the number of servers of each service."""
 
     name: str
     regions: tuple[str, ...]
     drafting: int
     plain: dict[str, int]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     costs: Costs = field(factory=Costs)
 
-    def speeds(self) -> list[float]:
-        """Speed of each drafting server: every fourth is a slow one."""
-        return [SLOW_SPEED if i % 4 == 3 else 1.0 for i in range(self.drafting)]
+    def engine_speeds(self) -> list[float]:
+        """Return the speed of each drafting server; every fourth server is slow."""
+        return [SLOW_ENGINE_SPEED if i % 4 == 3 else 1.0 for i in range(self.drafting)]
 
-    def capacity(self) -> float:
-        """Drafting requests a second that the servers can end."""
-        return sum(self.speeds()) * self.costs.rate(CAPACITY, TOKENS, MEAN_CHUNKS)
+    def drafting_capacity(self) -> float:
+        """Return the drafting requests per second that the servers can complete."""
+        return sum(self.engine_speeds()) * self.costs.max_throughput(
+            ENGINE_CAPACITY, TOKENS_PER_RESPONSE, MEAN_PROMPT_CHUNKS
+        )
 
-    def rate(self) -> float:
-        """Requests of all kinds a second, when drafting comes at its capacity."""
-        drafts = sum(k.share for k in self.kinds if k.service == "drafting")
-        return self.capacity() / drafts
+    def request_rate(self) -> float:
+        """Return the requests of all kinds per second at full drafting capacity."""
+        drafting_share = sum(k.share for k in self.kinds if k.service == "drafting")
+        return self.drafting_capacity() / drafting_share
 
     def services(self) -> list[dict]:
-        """Settings of the services."""
-        found = [{"name": "drafting", "kind": "model"}]
-        found += [{"name": name, "kind": "plain"} for name in self.plain]
-        for service in found:
+        """Return the services as they are written in an entry's settings."""
+        services = [{"name": "drafting", "kind": "model"}]
+        services += [{"name": name, "kind": "plain"} for name in self.plain]
+        for service in services:
             kinds = [k for k in self.kinds if k.service == service["name"]]
             service["priorities"] = {k.route: k.priority for k in kinds}
             service["repeatable"] = all(k.repeatable for k in kinds)
             if not service["repeatable"]:
                 service["repeatable_routes"] = [k.route for k in kinds if k.repeatable]
-        return found
+        return services
 
 
 PRINTING = Deployment(
@@ -82,12 +84,12 @@
     8,
     {"orders": 3, "shop-floor": 1},
     (
-        Kind("drafting", "proof", 0, 0.04),
-        Kind("drafting", "reply", 1, 0.36),
-        Kind("drafting", "brief", 2, 0.40),
-        Kind("orders", "print", 0, 0.06, repeatable=False),
-        Kind("orders", "status", 1, 0.10),
-        Kind("shop-floor", "jobs", 1, 0.04),
+        RequestKind("drafting", "proof", 0, 0.04),
+        RequestKind("drafting", "reply", 1, 0.36),
+        RequestKind("drafting", "brief", 2, 0.40),
+        RequestKind("orders", "print", 0, 0.06, repeatable=False),
+        RequestKind("orders", "status", 1, 0.10),
+        RequestKind("shop-floor", "jobs", 1, 0.04),
     ),
 )
 RENT = Deployment(
@@ -96,12 +98,12 @@
     6,
     {"ledger": 3, "portal": 1},
     (
-        Kind("drafting", "dispute", 0, 0.04),
-        Kind("drafting", "arrears", 1, 0.36),
-        Kind("drafting", "greeting", 2, 0.40),
-        Kind("ledger", "post", 0, 0.06, repeatable=False),
-        Kind("ledger", "balance", 1, 0.10),
-        Kind("portal", "page", 1, 0.04),
+        RequestKind("drafting", "dispute", 0, 0.04),
+        RequestKind("drafting", "arrears", 1, 0.36),
+        RequestKind("drafting", "greeting", 2, 0.40),
+        RequestKind("ledger", "post", 0, 0.06, repeatable=False),
+        RequestKind("ledger", "balance", 1, 0.10),
+        RequestKind("portal", "page", 1, 0.04),
     ),
 )
 DEPLOYMENTS = {d.name: d for d in (PRINTING, RENT)}
@@ -109,16 +111,16 @@
 
 @frozen
 class Arrival:
-    """One request that is due, whatever became of those before it.
+    """One request, which is due whether or not earlier requests have ended.
 
     Attributes
     ----------
     due : float
-        Seconds after the begin.
+        Seconds after the start of the run.
     """
 
     due: float
-    kind: Kind
+    kind: RequestKind
     organisation: str
     body: str
     key: str
@@ -128,13 +130,15 @@
 def arrivals(
     deployment: Deployment, burst: float, seconds: float, rng: random.Random
 ) -> Iterator[Arrival]:
-    """Poisson arrivals at ``burst`` times the capacity."""
+    """Yield Poisson arrivals at ``burst`` times the request rate at full capacity."""
     due = 0.0
     weights = [kind.share for kind in deployment.kinds]
-    while (due := due + rng.expovariate(burst * deployment.rate())) < seconds:
+    while (due := due + rng.expovariate(burst * deployment.request_rate())) < seconds:
         kind = rng.choices(deployment.kinds, weights)[0]
-        organisation = rng.choices(range(len(SHARES)), SHARES)[0]
-        prefix = f"org-{organisation} {kind.route} {rng.randrange(TEMPLATES)}"
+        organisation = rng.choices(
+            range(len(ORGANISATION_SHARES)), ORGANISATION_SHARES
+        )[0]
+        prefix = f"org-{organisation} {kind.route} {rng.randrange(TEMPLATES_PER_ROUTE)}"
         key = f"{rng.getrandbits(64):016x}"
         body = f"{prefix:<{PREFIX_BYTES}}{key}"
         region = rng.randrange(len(deployment.regions))
--- a/packages/wasabideck_lab/wasabideck_lab/pacing.py
+++ b/packages/wasabideck_lab/wasabideck_lab/pacing.py
@@ -1,4 +1,4 @@
-"""A link of a fixed rate, shared by all who use it."""
+"""A simulated network link of a fixed rate, shared by all its users."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 @define
 class Pacer:
-    """Lets bytes through one after the other at a rate; 0 is no limit.
+    """Limits the throughput of all transmissions together; a rate of 0 is no limit.
 
     Attributes
     ----------
-    rate : float
-        Bytes per second.
+    bytes_per_second : float
+        Throughput of the link; 0 is unlimited.
     """
 
-    rate: float = 0.0
+    bytes_per_second: float = 0.0
     _free_at: float = 0.0
 
-    async def take(self, size: int) -> None:
-        """Wait until this many bytes have gone through."""
-        if not self.rate:
+    async def transmit(self, size: int) -> None:
+        """Wait until this many bytes have been transmitted."""
+        if not self.bytes_per_second:
             return
         now = time.monotonic()
-        self._free_at = max(now, self._free_at) + size / self.rate
+        self._free_at = max(now, self._free_at) + size / self.bytes_per_second
         await asyncio.sleep(self._free_at - now)
--- a/packages/wasabideck_lab/wasabideck_lab/playground.py
+++ b/packages/wasabideck_lab/wasabideck_lab/playground.py
@@ -1,4 +1,4 @@
-"""A small fleet that stays up, to try the operators' commands on."""
+"""A small fleet that keeps running, for trying the operators' commands."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 async def run_playground(folder: Path, stop: asyncio.Event, seed: int = 0) -> None:
-    """Run stand-ins, an entry, two engines and a plain service until the stop.
+    """Run stand-ins, an entry, two engines and a plain service until ``stop`` is set.
 
-    Prints what to type; the access file, two tickets and the event files are in
-    the folder.
+    Prints the commands to try. Writes the access file, two tickets and the event files
+    into the folder.
     """
     folder.mkdir(parents=True, exist_ok=True)
     lab = Lab(folder, seed)
@@ -34,7 +34,7 @@
             lab.start_plain_vm("order-1", "orders"),
         )
         _write_files(folder, entry.http, digests)
-        print(_how_to(folder, entry.http), flush=True)
+        print(_instructions(folder, entry.http), flush=True)
         await stop.wait()
     finally:
         await lab.close()
@@ -53,7 +53,7 @@
     (folder / "ticket-2.toml").write_text(second)
 
 
-def _how_to(folder: Path, address: str) -> str:
+def _instructions(folder: Path, address: str) -> str:
     return f"""\
 The fleet is up; Ctrl-C stops it. In another terminal:
 
--- a/packages/wasabideck_lab/wasabideck_lab/plot.py
+++ b/packages/wasabideck_lab/wasabideck_lab/plot.py
@@ -1,85 +1,95 @@
-"""A picture of replicas over time, written as plain SVG."""
+"""Plots the number of verified replicas over time as SVG."""
 
 from __future__ import annotations
 
-__all__ = ["draw"]
+__all__ = ["draw_svg"]
 
-WIDTH, HEIGHT, MARGIN = 720, 420, 56
+WIDTH_PX, HEIGHT_PX, MARGIN_PX = 720, 420, 56
 COLOURS = {
     "swarm": "#0b6e4f",
     "random": "#c46a00",
     "tree": "#5b4bb5",
     "origin": "#b3243b",
 }
-TICKS = 8
+TICK_COUNT = 8
 
 
-def draw(rows: list[dict]) -> str:
-    """SVG of runs given as the experiment's rows, with the lower bound."""
+def draw_svg(rows: list[dict]) -> str:
+    """Return an SVG plot of the experiment's result rows, with the lower bound."""
     replicas = rows[0]["replicas"]
     bound = rows[0]["lower_bound_s"]
-    # Runs that take far longer than the bound would flatten all the others.
-    last = max(max(row["curve"], default=0.0) for row in rows)
-    end = min(max(last, bound), 4 * bound) * 1.05
+    # Cuts the time axis at four times the bound: if runs that take far longer set the
+    # scale, the curves of the other runs could not be told apart.
+    last_seconds = max(max(row["curve"], default=0.0) for row in rows)
+    axis_end = min(max(last_seconds, bound), 4 * bound) * 1.05
 
-    def place(seconds: float, count: float) -> str:
-        x = MARGIN + seconds / end * (WIDTH - 2 * MARGIN)
-        y = HEIGHT - MARGIN - count / replicas * (HEIGHT - 2 * MARGIN)
+    def point(seconds: float, count: float) -> str:
+        x = MARGIN_PX + seconds / axis_end * (WIDTH_PX - 2 * MARGIN_PX)
+        y = HEIGHT_PX - MARGIN_PX - count / replicas * (HEIGHT_PX - 2 * MARGIN_PX)
         return f"{x:.1f},{y:.1f}"
 
-    parts = [_axes(replicas, end), _line(place(bound, 0), place(bound, replicas))]
+    elements = [
+        _axes(replicas, axis_end),
+        _dashed_line(point(bound, 0), point(bound, replicas)),
+    ]
     for index, row in enumerate(rows):
-        points = [place(0, 0)]
-        for count, at in enumerate(row["curve"]):
-            if at <= end:
-                points += [place(at, count), place(at, count + 1)]
+        points = [point(0, 0)]
+        for count, seconds in enumerate(row["curve"]):
+            if seconds <= axis_end:
+                points += [point(seconds, count), point(seconds, count + 1)]
         colour = COLOURS.get(row["policy"], "#333333")
-        parts.append(
+        elements.append(
             f'<polyline fill="none" stroke="{colour}" stroke-width="2" '
             f'points="{" ".join(points)}"/>'
         )
-        text = f"{row['policy']}: {_result(row)}"
-        parts.append(_text(MARGIN + 10, MARGIN + 16 + 18 * index, text, colour))
-    parts.append(
-        _text(MARGIN + 10, MARGIN + 16 + 18 * len(rows), f"lower bound: {bound} s")
+        text = f"{row['policy']}: {_result_text(row)}"
+        elements.append(
+            _label(MARGIN_PX + 10, MARGIN_PX + 16 + 18 * index, text, colour)
+        )
+    elements.append(
+        _label(
+            MARGIN_PX + 10, MARGIN_PX + 16 + 18 * len(rows), f"lower bound: {bound} s"
+        )
     )
-    head = (
-        f'<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 {WIDTH} {HEIGHT}" '
+    opening_tag = (
+        f'<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 {WIDTH_PX} {HEIGHT_PX}" '
         'font-family="sans-serif" font-size="13">'
     )
-    back = f'<rect width="{WIDTH}" height="{HEIGHT}" fill="white"/>'
-    return "\n".join([head, back, *parts, "</svg>"]) + "\n"
+    background = f'<rect width="{WIDTH_PX}" height="{HEIGHT_PX}" fill="white"/>'
+    return "\n".join([opening_tag, background, *elements, "</svg>"]) + "\n"
 
 
-def _result(row: dict) -> str:
+def _result_text(row: dict) -> str:
     if row["ratio"] is None:
         return f"{row['verified']} of {row['replicas']} when given up"
     return f"{row['time_to_n_s']} s, ratio {row['ratio']}"
 
 
-def _axes(replicas: int, end: float) -> str:
-    bottom, left = HEIGHT - MARGIN, MARGIN
+def _axes(replicas: int, axis_end: float) -> str:
+    bottom, left = HEIGHT_PX - MARGIN_PX, MARGIN_PX
     lines = [
-        f'<path d="M{left} {MARGIN}V{bottom}H{WIDTH - MARGIN}" '
+        f'<path d="M{left} {MARGIN_PX}V{bottom}H{WIDTH_PX - MARGIN_PX}" '
         'fill="none" stroke="#333333"/>'
     ]
-    for tick in range(TICKS + 1):
-        x = left + tick / TICKS * (WIDTH - 2 * MARGIN)
-        lines.append(_text(x - 8, bottom + 18, f"{end * tick / TICKS:.0f}"))
-    lines.append(_text(WIDTH / 2 - 60, HEIGHT - 14, "seconds since the begin"))
-    lines.append(_text(8, MARGIN - 14, f"replicas whole and verified, of {replicas}"))
-    lines.append(_text(left - 34, MARGIN + 4, str(replicas)))
-    lines.append(_text(left - 20, bottom + 4, "0"))
+    for tick in range(TICK_COUNT + 1):
+        x = left + tick / TICK_COUNT * (WIDTH_PX - 2 * MARGIN_PX)
+        lines.append(_label(x - 8, bottom + 18, f"{axis_end * tick / TICK_COUNT:.0f}"))
+    lines.append(_label(WIDTH_PX / 2 - 60, HEIGHT_PX - 14, "seconds since the begin"))
+    lines.append(
+        _label(8, MARGIN_PX - 14, f"replicas whole and verified, of {replicas}")
+    )
+    lines.append(_label(left - 34, MARGIN_PX + 4, str(replicas)))
+    lines.append(_label(left - 20, bottom + 4, "0"))
     return "\n".join(lines)
 
 
-def _line(begin: str, end: str) -> str:
-    (x1, y1), (x2, y2) = begin.split(","), end.split(",")
+def _dashed_line(start: str, end: str) -> str:
+    (x1, y1), (x2, y2) = start.split(","), end.split(",")
     return (
         f'<line x1="{x1}" y1="{y1}" x2="{x2}" y2="{y2}" stroke="#333333" '
         'stroke-dasharray="5 4"/>'
     )
 
 
-def _text(x: float, y: float, text: str, colour: str = "#333333") -> str:
+def _label(x: float, y: float, text: str, colour: str = "#333333") -> str:
     return f'<text x="{x:.0f}" y="{y:.0f}" fill="{colour}">{text}</text>'
--- a/packages/wasabideck_lab/wasabideck_lab/process_usage.py
+++ b/packages/wasabideck_lab/wasabideck_lab/process_usage.py
@@ -1,4 +1,4 @@
-"""What a process uses: CPU, memory, and bytes read and written, from /proc."""
+"""Resource usage of a process from /proc: CPU, memory, bytes read and written."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 __all__ = ["Usage", "cpu_seconds", "resident_bytes", "usage_over"]
 
-_TICK = os.sysconf("SC_CLK_TCK")
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 @frozen
 class Usage:
-    """A process's use over a while.
+    """Resource usage of a process over a period.
 
     Attributes
     ----------
     cpu : float
-        Share of one core.
+        Mean usage as a fraction of one core.
     resident : int
-        Bytes of memory at the end.
+        Resident memory in bytes at the end of the period.
     received, sent : float
-        Bytes per second that went through its read and write calls, sockets and
-        event file alike; loopback framing below TCP is not in it.
+        Bytes per second that passed through the read and write calls of the process,
+        for sockets as well as for its event file. Framing below TCP is not included.
     """
 
     cpu: float
@@ -37,18 +37,18 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Bytes of memory that a process holds now."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * _PAGE
+    """Return the resident memory of a process in bytes."""
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * _PAGE_BYTES
 
 
 def cpu_seconds(pid: int) -> float:
-    """Processor time that a process has used."""
-    # The second field is the program's name in parentheses and may hold spaces.
+    """Return the CPU time that a process has used so far."""
+    # The second field is the program name in parentheses, which may contain spaces.
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICK
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
-def _transferred(pid: int) -> tuple[int, int]:
+def _io_bytes(pid: int) -> tuple[int, int]:
     rows = dict(
         line.split(": ") for line in Path(f"/proc/{pid}/io").read_text().splitlines()
     )
@@ -56,15 +56,15 @@
 
 
 async def usage_over(pid: int, seconds: float) -> Usage:
-    """Watch a process for some seconds."""
-    begun, cpu = time.monotonic(), cpu_seconds(pid)
-    received, sent = _transferred(pid)
+    """Measure the usage of a process over a period."""
+    started, cpu_before = time.monotonic(), cpu_seconds(pid)
+    received, sent = _io_bytes(pid)
     await asyncio.sleep(seconds)
-    took = time.monotonic() - begun
-    received_now, sent_now = _transferred(pid)
+    elapsed = time.monotonic() - started
+    received_now, sent_now = _io_bytes(pid)
     return Usage(
-        (cpu_seconds(pid) - cpu) / took,
+        (cpu_seconds(pid) - cpu_before) / elapsed,
         resident_bytes(pid),
-        (received_now - received) / took,
-        (sent_now - sent) / took,
+        (received_now - received) / elapsed,
+        (sent_now - sent) / elapsed,
     )
--- a/packages/wasabideck_lab/wasabideck_lab/relay.py
+++ b/packages/wasabideck_lab/wasabideck_lab/relay.py
@@ -1,4 +1,4 @@
-"""A relay between any two parties: latency, rate, silence and cuts."""
+"""TCP relay that adds latency, limits the rate, and stalls or aborts connections."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 __all__ = ["Relay"]
 
-READ_BYTES = 1 << 16
+MAX_READ_BYTES = 1 << 16
 
 
 @define(eq=False)
 class _Link:
-    """One relayed connection, with a transport towards either side."""
+    """One relayed connection, with a writer for each side."""
 
     writers: list[asyncio.StreamWriter]
-    silent: bool = False
+    stalled: bool = False
 
     def abort(self) -> None:
         for writer in self.writers:
@@ -26,16 +26,16 @@
 
 @define
 class Relay:
-    """Forwards connections to a target, as well or badly as it is told to.
+    """Forwards connections to a target, and injects network faults.
 
     Attributes
     ----------
     target : callable
-        Present ``host:port`` of the other party.
+        Returns the current ``host:port`` of the target.
     latency : float
-        Seconds added one way.
+        Seconds added in each direction.
     rate : float
-        Bytes a second each way of a connection; 0 is unlimited.
+        Bytes per second in each direction of a connection; 0 is unlimited.
     """
 
     target: Callable[[], str]
@@ -46,26 +46,26 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a free port of loopback."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     def silence(self) -> int:
-        """Lose track of the open connections; new ones work. How many they were."""
+        """Stall the open connections, and return their number; new connections work."""
         for link in self._links:
-            link.silent = True
+            link.stalled = True
         return len(self._links)
 
     def cut(self) -> int:
-        """Break the open connections; new ones work. How many they were."""
+        """Abort the open connections, and return their number; new connections work."""
         links = list(self._links)
         for link in links:
             link.abort()
         return len(links)
 
     async def close(self) -> None:
-        """Stop listening and break what is open."""
+        """Stop listening, and abort the open connections."""
         self._server.close()
         self.cut()
 
@@ -74,35 +74,38 @@
     ) -> None:
         host, _, port = self.target().rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.transport.abort()
             return
-        link = _Link([writer, far_writer])
+        link = _Link([writer, target_writer])
         self._links.add(link)
-        pumps = [
-            asyncio.create_task(self._pump(link, reader, far_writer)),
-            asyncio.create_task(self._pump(link, far_reader, writer)),
+        forwarders = [
+            asyncio.create_task(self._forward(link, reader, target_writer)),
+            asyncio.create_task(self._forward(link, target_reader, writer)),
         ]
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(forwarders, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for pump in pumps:
-                pump.cancel()
+            for forwarder in forwarders:
+                forwarder.cancel()
             link.abort()
             self._links.discard(link)
 
-    async def _pump(
+    async def _forward(
         self, link: _Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         loop = asyncio.get_running_loop()
         while True:
             try:
-                data = await reader.read(READ_BYTES)
+                data = await reader.read(MAX_READ_BYTES)
             except OSError:
                 return
-            if link.silent:
-                # Lost track of: neither side hears of it, whoever sends or closes.
+            if link.stalled:
+                # Neither data nor the closing of a side is forwarded any more, and
+                # neither side is notified.
                 await asyncio.Event().wait()
             if not data:
                 return
--- a/packages/wasabideck_lab/wasabideck_lab/rollout_books.py
+++ b/packages/wasabideck_lab/wasabideck_lab/rollout_books.py
@@ -1,4 +1,4 @@
-"""What the books say of a rollout: events, links, rows, and the stand-ins' counts."""
+"""Measurements of a rollout from events, metrics, rows and the stand-ins' counters."""
 
 from __future__ import annotations
 
@@ -12,114 +12,123 @@
 from .rollout import Run
 
 __all__ = [
-    "begun_at",
+    "byte_increase",
+    "count_per_chunk",
     "delivery_rows",
+    "first_transfer_started_at",
     "fleet_cpu_seconds",
-    "grown",
     "link_bytes",
     "mixed_models",
     "origin_copies",
     "p99_ratio",
-    "per_chunk",
     "region_copies",
     "verified_at",
 ]
 
 
 def delivery_rows(run: Run, ticket: int) -> dict[str, dict]:
-    """Delivery rows of a ticket, by VM."""
+    """Return the delivery rows of a ticket by VM."""
     rows = run.lab.table.rows.get("deliveries", {}).values()
     return {row["vm"]: row for row in rows if row["ticket"] == ticket}
 
 
 def verified_at(run: Run) -> dict[str, float]:
-    """Wall time at which each living VM had verified version 2."""
-    return _when(run, "transfer.verified")
+    """Return the wall time at which each running VM had verified version 2."""
+    return _event_times(run, "transfer.verified")
 
 
-def begun_at(run: Run) -> float:
-    """Wall time at which the first living VM began its transfer of version 2."""
-    return min(_when(run, "transfer.begun").values())
+def first_transfer_started_at(run: Run) -> float:
+    """Return the wall time at which the first transfer of version 2 started.
 
+    Only running VMs are considered.
+    """
+    return min(_event_times(run, "transfer.begun").values())
 
-def _when(run: Run, kind: str) -> dict[str, float]:
-    """Wall time of an event of ticket 2 at each living VM."""
+
+def _event_times(run: Run, kind: str) -> dict[str, float]:
+    """Return the wall time of an event of ticket 2 at each running VM."""
     rows = _events(run, kind)
     return {row["vm"]: row["timestamp"] for row in rows if row["ticket"] == 2}
 
 
-def per_chunk(run: Run, what: str) -> float:
-    """How often something happened for each chunk that a VM fetched."""
+def count_per_chunk(run: Run, count_name: str) -> float:
+    """Return the mean of a ``transfer.ended`` count per chunk that a VM fetched."""
     digest = run.manifest.digest
     rows = _events(run, "transfer.ended")
-    counts = [row[what] for row in rows if row["manifest"] == digest]
-    return round(sum(counts) / max(len(counts) * run.plan.chunks, 1), 2)
+    values = [row[count_name] for row in rows if row["manifest"] == digest]
+    return round(sum(values) / max(len(values) * run.plan.chunks, 1), 2)
 
 
 def _events(run: Run, kind: str) -> list[dict]:
-    """The living VMs' events of a kind, from the files that they write."""
-    found = []
-    mark = f'"{kind}"'.encode()
+    """Return the events of a kind from the event files of the running VMs."""
+    events = []
+    quoted_kind = f'"{kind}"'.encode()
     for vm in run.vms:
         if vm in run.killed:
             continue
         for line in run.lab.processes[vm].events.read_bytes().splitlines():
-            if mark in line:
-                found.append(orjson.loads(line))
-    return found
+            if quoted_kind in line:
+                events.append(orjson.loads(line))
+    return events
 
 
 async def link_bytes(run: Run) -> dict[str, dict[str, float]]:
-    """Weight bytes that each living agent's links have carried."""
-    found: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
+    """Return the weight bytes transferred by each running agent, by link."""
+    bytes_by_vm: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
     async with aiohttp.ClientSession() as session:
         for vm in sorted(set(run.vms) - run.killed):
             url = f"http://{run.lab.processes[vm].http}/metrics"
-            async with session.get(url) as answer:
-                text = await answer.text()
+            async with session.get(url) as response:
+                text = await response.text()
             for line in text.splitlines():
                 if line.startswith("wasabideck_weight_link_bytes_total{"):
                     name = line.split('"')[1]
-                    found[vm][name] = float(line.rsplit(" ", 1)[1])
-    return found
+                    bytes_by_vm[vm][name] = float(line.rsplit(" ", 1)[1])
+    return bytes_by_vm
 
 
 def fleet_cpu_seconds(run: Run) -> float:
-    """Processor time that the living agents have used."""
-    alive = set(run.vms) - run.killed
-    return sum(cpu_seconds(run.lab.processes[vm].process.pid) for vm in alive)
+    """Return the CPU time that the running agents have used."""
+    running = set(run.vms) - run.killed
+    return sum(cpu_seconds(run.lab.processes[vm].process.pid) for vm in running)
 
 
-def grown(before: dict | None, after: dict) -> dict:
-    """Bytes by which the links' counts grew."""
+def byte_increase(before: dict | None, after: dict) -> dict:
+    """Return the increase of the byte count of each link."""
     before = before or defaultdict(float)
     return {name: after[name] - before[name] for name in ("up", "down", "region")}
 
 
 def origin_copies(run: Run) -> float:
-    """Copies of the version that were read from the origin."""
+    """Return the number of copies of the version that were read from the origin."""
     reads = run.lab.weights.chunk_reads
     return sum(reads[digest] for digest in run.manifest.chunks) / run.plan.chunks
 
 
 def region_copies(run: Run) -> float:
-    """Copies that the busiest link between two regions carried, by the reports."""
-    region = {vm: run.region(index) for index, vm in enumerate(run.vms)}
-    carried: dict[tuple[str, str], int] = defaultdict(int)
+    """Return the copies carried by the busiest link between two regions.
+
+    The copies are computed from the delivery rows.
+    """
+    region_by_vm = {vm: run.region_of(index) for index, vm in enumerate(run.vms)}
+    carried_bytes: dict[tuple[str, str], int] = defaultdict(int)
     for vm, row in delivery_rows(run, 2).items():
         for source, size in row["sources"].items():
-            begin = region.get(source, "region-1")
-            if begin != region[vm]:
-                carried[begin, region[vm]] += size
-    return max(carried.values(), default=0) / run.plan.total
+            source_region = region_by_vm.get(source, "region-1")
+            if source_region != region_by_vm[vm]:
+                carried_bytes[source_region, region_by_vm[vm]] += size
+    return max(carried_bytes.values(), default=0) / run.plan.copy_bytes
 
 
 def p99_ratio(run: Run, window: tuple[float, float]) -> float | None:
-    """Live requests' p99 in a window of monotonic time, over that before it."""
-    begin, end = window
+    """Return the p99 of live requests in a window over the p99 before the window.
+
+    The window is given in monotonic time.
+    """
+    start, end = window
     results = run.traffic.results
-    before = [r.seconds for r in results if r.begun + r.seconds < begin]
-    during = [r.seconds for r in results if begin <= r.begun <= end]
+    before = [r.seconds for r in results if r.begun + r.seconds < start]
+    during = [r.seconds for r in results if start <= r.begun <= end]
     if not before or not during:
         return None
     return round(_p99(during) / _p99(before), 3)
@@ -130,11 +139,11 @@
 
 
 async def mixed_models(run: Run) -> int:
-    """Partial or mixed models that the engines' stand-ins were ordered to load."""
-    mixed = 0
+    """Return how many partial or mixed models engine stand-ins were ordered to load."""
+    mixed_count = 0
     async with aiohttp.ClientSession() as session:
-        for url in run.engine_hosts:
-            async with session.get(f"{url}/books") as answer:
-                books = await answer.json()
-            mixed += sum(row["mixed"] for row in books.values())
-    return mixed
+        for url in run.engine_host_urls:
+            async with session.get(f"{url}/books") as response:
+                records = await response.json()
+            mixed_count += sum(row["mixed"] for row in records.values())
+    return mixed_count
--- a/packages/wasabideck_lab/wasabideck_lab/samples.py
+++ b/packages/wasabideck_lab/wasabideck_lab/samples.py
@@ -1,4 +1,4 @@
-"""Sample settings of the two users' deployments: real sizes, made-up addresses."""
+"""Sample settings of two users' deployments, with real sizes and invented addresses."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 HTTP_PORT = 7180
 SERVER_PORT = 8000
 PLATFORM_PORTS = {"table": 9001, "members": 9002, "weights": 9003}
-FIRST_AGENT_HOST = 20
-ORGANISATIONS = 10
-KEYS = "/etc/wasabideck"
-# Half of ten megabits a second: the link between regions is shared by all traffic.
-REGION_RATE = 625_000.0
+FIRST_AGENT_HOST_NUMBER = 20
+ORGANISATION_COUNT = 10
+KEY_FOLDER = "/etc/wasabideck"
+# Half of 10 Mbit/s, because other traffic shares the link between regions.
+REGION_RATE_BYTES_PER_SECOND = 625_000.0
 
-# The three networks that are set aside for documentation, one for each region.
+# The three networks reserved for documentation, one for each region.
 NETWORKS = ("192.0.2", "198.51.100", "203.0.113")
-STORE_HOST = 5
+STORE_HOST_NUMBER = 5
 
 HEADER = """\
 # Sample: addresses, tokens, digests and key files are made up and have to be
@@ -34,16 +34,16 @@
 
 @frozen
 class Deployment:
-    """One user's regions, services and servers.
+    """The regions, services and servers of one user.
 
     Attributes
     ----------
     regions : tuple of str
-        The first one holds the platform's store.
+        The first region contains the platform's store.
     placement : dict of str to tuple of str
-        Service to the region of each of its servers.
+        Maps each service to the regions of its servers.
     profile : str
-        What counts most: ``time`` to N replicas, or ``origin-bytes``.
+        Optimisation goal of transfers: ``time`` to N replicas or ``origin-bytes``.
     """
 
     name: str
@@ -126,16 +126,16 @@
 
 
 def sample_files() -> dict[str, str]:
-    """Text of every sample file, by its path."""
+    """Return the text of each sample file by its path."""
     files = {}
     for deployment in (PRINTING, RENT):
-        for name, table in _tables(deployment):
+        for name, table in _settings_tables(deployment):
             files[f"{deployment.name}/{name}.toml"] = HEADER + to_toml(table)
     return files
 
 
 def write_samples(folder: Path) -> int:
-    """Write every sample file below a folder; how many there are."""
+    """Write all sample files below a folder, and return their number."""
     files = sample_files()
     for name, text in files.items():
         path = folder / name
@@ -144,23 +144,26 @@
     return len(files)
 
 
-def _tables(deployment: Deployment) -> Iterator[tuple[str, dict]]:
+def _settings_tables(deployment: Deployment) -> Iterator[tuple[str, dict]]:
     for index, region in enumerate(deployment.regions):
-        yield f"entry-{region}", _entry(deployment, index)
-    hosts = dict.fromkeys(deployment.regions, FIRST_AGENT_HOST)
+        yield f"entry-{region}", _entry_settings(deployment, index)
+    next_hosts = dict.fromkeys(deployment.regions, FIRST_AGENT_HOST_NUMBER)
     for service in deployment.services:
         regions = deployment.placement[service["name"]]
         for number, region in enumerate(regions, 1):
             vm = f"{service['name']}-{number}"
-            yield f"agent-{vm}", _agent(deployment, vm, service, region, hosts[region])
-            hosts[region] += 1
-    yield "access", _access(deployment)
+            yield (
+                f"agent-{vm}",
+                _agent_settings(deployment, vm, service, region, next_hosts[region]),
+            )
+            next_hosts[region] += 1
+    yield "access", _access_settings(deployment)
     yield "ticket-1", _ticket()
 
 
-def _entry(deployment: Deployment, index: int) -> dict:
+def _entry_settings(deployment: Deployment, index: int) -> dict:
     region = deployment.regions[index]
-    return _common(deployment, f"entry-{region}", region, 10) | {
+    return _common_settings(deployment, f"entry-{region}", region, 10) | {
         "services": deployment.services,
         "operators": [
             {"name": "operator-1", "token": f"sample-{deployment.name}-operator-1"}
@@ -170,12 +173,12 @@
                 "organisation": f"org-{number:02d}",
                 "token": f"sample-{deployment.name}-org-{number:02d}",
             }
-            for number in range(1, ORGANISATIONS + 1)
+            for number in range(1, ORGANISATION_COUNT + 1)
         ],
     }
 
 
-def _agent(
+def _agent_settings(
     deployment: Deployment, vm: str, service: dict, region: str, host: int
 ) -> dict:
     server = {
@@ -186,16 +189,16 @@
     }
     weights = {
         "profile": deployment.profile,
-        "region_rate": REGION_RATE,
+        "region_rate": REGION_RATE_BYTES_PER_SECOND,
         "origin_region": deployment.regions[0],
     }
-    common = _common(deployment, vm, region, host)
+    common = _common_settings(deployment, vm, region, host)
     return common | {"server": server, "weights": weights}
 
 
-def _common(deployment: Deployment, vm: str, region: str, host: int) -> dict:
+def _common_settings(deployment: Deployment, vm: str, region: str, host: int) -> dict:
     network = NETWORKS[deployment.regions.index(region)]
-    store = f"http://{NETWORKS[0]}.{STORE_HOST}"
+    store = f"http://{NETWORKS[0]}.{STORE_HOST_NUMBER}"
     return {
         "process": {
             "vm": vm,
@@ -206,18 +209,18 @@
         },
         "platform": {name: f"{store}:{port}" for name, port in PLATFORM_PORTS.items()},
         "tls": {
-            "certificate": f"{KEYS}/{vm}.pem",
-            "key": f"{KEYS}/{vm}.key",
-            "authority": f"{KEYS}/fleet.pem",
+            "certificate": f"{KEY_FOLDER}/{vm}.pem",
+            "key": f"{KEY_FOLDER}/{vm}.key",
+            "authority": f"{KEY_FOLDER}/fleet.pem",
         },
     }
 
 
-def _access(deployment: Deployment) -> dict:
+def _access_settings(deployment: Deployment) -> dict:
     return {
         "entry": f"https://{NETWORKS[0]}.10:{HTTP_PORT}",
         "token": f"sample-{deployment.name}-operator-1",
-        "authority": f"{KEYS}/fleet.pem",
+        "authority": f"{KEY_FOLDER}/fleet.pem",
     }
 
 
--- a/packages/wasabideck_lab/wasabideck_lab/scenarios_answers.py
+++ b/packages/wasabideck_lab/wasabideck_lab/scenarios_answers.py
@@ -1,4 +1,4 @@
-"""Fault scenarios about answers, claims and stops."""
+"""Fault scenarios about responses, claims and the termination of processes."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 __all__: list[str] = []
 
-DRAFTS = ("draft-1", "draft-2", "draft-3")
-ORDERS = ("order-1", "order-2", "order-3")
-MOST_CRASHES = 2
+DRAFTING_VMS = ("draft-1", "draft-2", "draft-3")
+ORDERS_VMS = ("order-1", "order-2", "order-3")
+MAX_CRASHES_PER_REQUEST = 2
 
 
 @scenario("undisturbed")
 async def undisturbed(stage: Stage) -> None:
-    """No fault: every request is answered."""
+    """Inject no fault: every request is answered."""
 
 
 @scenario("agents-killed")
 async def agents_killed(stage: Stage) -> None:
-    """One agent of each service dies for good, then another dies and comes back."""
+    """Kill one agent of each service; then kill another one of each and restart it."""
     await asyncio.sleep(2)
     stage.kill("draft-1", "order-1")
     await asyncio.sleep(3)
@@ -30,7 +30,7 @@
 
 @scenario("agents-restarted")
 async def agents_restarted(stage: Stage) -> None:
-    """Agents die, and others that know nothing stand at their addresses at once."""
+    """Kill agents, and at once start new ones without state at their addresses."""
     for vm in ("order-1", "order-2", "draft-1"):
         await asyncio.sleep(1.5)
         await _kill_and_restart(stage, vm)
@@ -38,7 +38,7 @@
 
 @scenario("entry-killed")
 async def entry_killed(stage: Stage) -> None:
-    """An entry dies; its callers try again at others, with the same keys."""
+    """Kill an entry: its callers retry at other entries with the same keys."""
     for vm in ("entry-1", "entry-2"):
         await asyncio.sleep(2.5)
         await _kill_and_restart(stage, vm)
@@ -46,7 +46,7 @@
 
 @scenario("agents-frozen")
 async def agents_frozen(stage: Stage) -> None:
-    """Agents are paused, unaware, and wake with claims and requests in hand."""
+    """Suspend agents: they resume with claims and requests still in progress."""
     await asyncio.sleep(2)
     await stage.freeze(4, "order-1", "draft-1")
     await asyncio.sleep(1)
@@ -55,15 +55,15 @@
 
 @scenario("entry-frozen")
 async def entry_frozen(stage: Stage) -> None:
-    """An entry is paused; nothing moves through it, and everything does after."""
+    """Suspend an entry: its requests stop, and all of them continue when it resumes."""
     await asyncio.sleep(2)
     await stage.freeze(4, "entry-1")
 
 
 @scenario("links-silent")
 async def links_silent(stage: Stage) -> None:
-    """Open connections between entries and agents go silent for good, twice."""
-    await stage.relay(*DRAFTS, *ORDERS)
+    """Stall the open connections between entries and agents permanently, twice."""
+    await stage.relay(*DRAFTING_VMS, *ORDERS_VMS)
     for _ in range(2):
         await asyncio.sleep(3)
         for relay in stage.relays.values():
@@ -72,8 +72,8 @@
 
 @scenario("links-cut")
 async def links_cut(stage: Stage) -> None:
-    """Connections between entries and agents break, again and again."""
-    await stage.relay(*DRAFTS, *ORDERS)
+    """Abort connections between entries and agents repeatedly."""
+    await stage.relay(*DRAFTING_VMS, *ORDERS_VMS)
     await asyncio.sleep(2)
     for _ in range(20):
         await asyncio.sleep(0.3)
@@ -82,7 +82,7 @@
 
 @scenario("store-down")
 async def store_down(stage: Stage) -> None:
-    """The table answers 503 for a while, then is slow."""
+    """Make the table respond 503 for some seconds, then slowly."""
     faults = stage.lab.table.faults.active
     await asyncio.sleep(2)
     faults["down"] = 1
@@ -95,7 +95,7 @@
 
 @scenario("store-loses-answers")
 async def store_loses_answers(stage: Stage) -> None:
-    """The table's answers are lost, of writes that stand and that come later."""
+    """Lose table responses, first to writes that took effect, then also to late ones."""
     faults = stage.lab.table.faults.active
     await asyncio.sleep(1)
     faults["lose_answer"] = 0.3
@@ -107,29 +107,29 @@
 
 @scenario("server-fails-after")
 async def server_fails_after(stage: Stage) -> None:
-    """A plain service runs calls and answers 500: they did run."""
-    for vm in ORDERS:
+    """Make a plain service respond 500 to calls after it has executed them."""
+    for vm in ORDERS_VMS:
         stage.lab.plains[vm].faults.active["fail_after"] = 0.2
     await asyncio.sleep(6)
-    for vm in ORDERS:
+    for vm in ORDERS_VMS:
         stage.lab.plains[vm].faults.active.clear()
 
 
 @scenario("same-key-twice")
 async def same_key_twice(stage: Stage) -> None:
-    """Callers send the same order through two entries at once, and once more."""
+    """Send the same order three times at once through any entries, then once more."""
     async with stage.any_session() as session:
         for index in range(60):
             await asyncio.sleep(0.1)
             key = f"twice-{index}"
-            same = (session, "orders", "print", f"body of {key}", key, True)
-            await asyncio.gather(*(stage.traffic.send(*same) for _ in range(3)))
-            await stage.traffic.send(*same)
+            order = (session, "orders", "print", f"body of {key}", key, True)
+            await asyncio.gather(*(stage.traffic.send(*order) for _ in range(3)))
+            await stage.traffic.send(*order)
 
 
 @scenario("crashing-request")
 async def crashing_request(stage: Stage) -> None:
-    """A request crashes each server that runs it; its caller sends it again."""
+    """Send requests that crash each server that runs them, and retry each request."""
     servers = [*stage.lab.engines.values(), *stage.lab.plains.values()]
     for server in servers:
         server.faults.active["crash_on"] = "boom"
@@ -138,11 +138,11 @@
         for index, (service, route) in enumerate(
             [("drafting", "brief"), ("orders", "status"), ("orders", "print")]
         ):
-            for number in range(4):
+            for attempt in range(4):
                 body = f"boom {service} {route}"
                 key = f"boom-{index}"
                 result = await stage.traffic.send(
-                    session, service, route, body, key, again=number > 0
+                    session, service, route, body, key, again=attempt > 0
                 )
                 if result.outcome == "answered":
                     stage.problems.append(f"{body}: answered")
@@ -152,14 +152,17 @@
 
 @scenario("rolling-stops")
 async def rolling_stops(stage: Stage) -> None:
-    """Every entry and agent is replaced under load, each by SIGTERM."""
-    await _replace_all(stage)
+    """Replace every entry and agent under load, stopping the old ones with SIGTERM."""
+    await _replace_all_processes(stage)
 
 
 @scenario("two-together")
 async def two_together(stage: Stage) -> None:
-    """A frozen agent while the store is down; then a killed entry and silence."""
-    await stage.relay(*ORDERS)
+    """Suspend agents while the table is down.
+
+    Then kill an entry and agents while connections stall and table responses are lost.
+    """
+    await stage.relay(*ORDERS_VMS)
     await asyncio.sleep(2)
     stage.lab.table.faults.active["down"] = 1
     await stage.freeze(2, "order-1", "draft-1")
@@ -180,38 +183,38 @@
         await stage.lab.restart(vm)
 
 
-async def _replace_all(stage: Stage) -> None:
+async def _replace_all_processes(stage: Stage) -> None:
     lab = stage.lab
     for vm in stage.entries():
         await lab.start_entry(f"{vm}b", SERVICES)
-        await _retire(stage, vm)
-    for vm in DRAFTS:
+        await _stop_and_remove(stage, vm)
+    for vm in DRAFTING_VMS:
         await lab.start_engine_vm(f"{vm}b", "drafting")
-        await _serving(stage)
-        await _retire(stage, vm)
-    for vm in ORDERS:
+        await _wait_until_serving(stage)
+        await _stop_and_remove(stage, vm)
+    for vm in ORDERS_VMS:
         await lab.start_plain_vm(f"{vm}b", "orders")
-        await _serving(stage)
-        await _retire(stage, vm)
+        await _wait_until_serving(stage)
+        await _stop_and_remove(stage, vm)
 
 
-async def _serving(stage: Stage) -> None:
+async def _wait_until_serving(stage: Stage) -> None:
     async with stage.session("entry-1b") as session:
-        await wait_serving(session, len(DRAFTS) + len(ORDERS) + 1)
+        await wait_serving(session, len(DRAFTING_VMS) + len(ORDERS_VMS) + 1)
 
 
-async def _retire(stage: Stage, vm: str) -> None:
+async def _stop_and_remove(stage: Stage, vm: str) -> None:
     process = stage.lab.processes[vm]
-    code = await process.stop()
-    if code:
-        stage.problems.append(f"{vm} exited with {code}")
+    exit_code = await process.stop()
+    if exit_code:
+        stage.problems.append(f"{vm} exited with {exit_code}")
     stage.lab.members.remove(vm)
     stage.lab.processes.pop(vm)
 
 
 def _check_crashes(stage: Stage) -> None:
     servers = [*stage.lab.engines.values(), *stage.lab.plains.values()]
-    bodies = [body for server in servers for body in server.crashes.bodies]
+    bodies = [body for server in servers for body in server.crash_simulator.bodies]
     for body in set(bodies):
-        if bodies.count(body) > MOST_CRASHES:
+        if bodies.count(body) > MAX_CRASHES_PER_REQUEST:
             stage.problems.append(f"{body!r}: {bodies.count(body)} crashes")
--- a/packages/wasabideck_lab/wasabideck_lab/stage_tickets.py
+++ b/packages/wasabideck_lab/wasabideck_lab/stage_tickets.py
@@ -1,4 +1,4 @@
-"""What the ticket scenarios do on a stage: submit, publish, wait, compare."""
+"""Steps shared by the ticket scenarios: publish, submit, wait and check."""
 
 from __future__ import annotations
 
@@ -15,45 +15,48 @@
 from .weights import make_weights
 
 __all__ = [
-    "Answer",
-    "ask",
+    "EntryResponse",
     "expect",
     "publish",
-    "report_in_force",
+    "query_entry",
     "submit_ticket",
-    "wait_in_force_everywhere",
+    "vms_in_effect",
+    "wait_in_effect_everywhere",
     "wait_until",
 ]
 
-IN_FORCE_SECONDS = 6.0
-CALL_SECONDS = 30.0
-LOOK_SECONDS = 0.005
-HEADERS = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
+MAX_IN_EFFECT_SECONDS = 6.0
+CALL_TIMEOUT_SECONDS = 30.0
+POLL_INTERVAL_SECONDS = 0.005
+OPERATOR_HEADERS = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
 
 
 @frozen
-class Answer:
-    """An entry's answer to an operator; status 0 when there was none."""
+class EntryResponse:
+    """The response of an entry to an operator; status 0 if there was none."""
 
     status: int
     body: dict
 
     @property
     def title(self) -> str:
-        """Type of the refusal; empty when there was none."""
+        """Return the type of the refusal; empty if the request was not refused."""
         return self.body.get("title", "")
 
 
 def publish(stage: Stage, version: str) -> str:
-    """Publish a version of the drafter; its manifest's digest."""
+    """Publish a version of the drafter, and return the digest of its manifest."""
     weights = make_weights("drafter", version, CHUNKS, CHUNK_BYTES, stage.lab.seed)
     return stage.lab.publish(*weights)
 
 
 async def submit_ticket(
     stage: Stage, vm: str, number: int, version: str = "", **change: str
-) -> Answer:
-    """Submit a ticket that names a version (by default its own) for the drafters."""
+) -> EntryResponse:
+    """Submit a ticket that declares a version for the drafters.
+
+    The default version is named after the number of the ticket.
+    """
     version = version or f"v{number}"
     row = {
         "scope": "drafting",
@@ -63,82 +66,89 @@
     }
     table = {"number": number, "note": "", "change": [row | change]}
     body = to_toml(table).encode()
-    return await _call(stage, vm, "POST", "/v1/tickets", body)
+    return await _send_request(stage, vm, "POST", "/v1/tickets", body)
 
 
-async def ask(stage: Stage, vm: str, path: str) -> Answer:
-    """An entry's answer to an operator's question."""
-    return await _call(stage, vm, "GET", path, None)
+async def query_entry(stage: Stage, vm: str, path: str) -> EntryResponse:
+    """Return the response of an entry to an operator's query."""
+    return await _send_request(stage, vm, "GET", path, None)
 
 
-async def _call(
+async def _send_request(
     stage: Stage, vm: str, method: str, path: str, body: bytes | None
-) -> Answer:
-    limit = aiohttp.ClientTimeout(total=CALL_SECONDS)
+) -> EntryResponse:
+    timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS)
     try:
         async with stage.session(vm) as session:
             req = session.request(
-                method, path, data=body, headers=HEADERS, timeout=limit
+                method, path, data=body, headers=OPERATOR_HEADERS, timeout=timeout
             )
-            async with req as answer:
-                return Answer(answer.status, orjson.loads(await answer.read()))
+            async with req as response:
+                return EntryResponse(
+                    response.status, orjson.loads(await response.read())
+                )
     except (TimeoutError, aiohttp.ClientError):
-        return Answer(0, {})
+        return EntryResponse(0, {})
 
 
-def expect(stage: Stage, holds: bool, what: str) -> None:
-    """Note a problem unless something holds."""
-    if not holds:
-        stage.problems.append(what)
+def expect(stage: Stage, condition: bool, problem: str) -> None:
+    """Record a problem of the scenario unless a condition holds."""
+    if not condition:
+        stage.problems.append(problem)
 
 
-async def wait_until(holds, seconds: float) -> bool:
-    """Whether a condition of the books came to hold in time."""
-    limit = time.monotonic() + seconds
-    while not holds():
-        if time.monotonic() > limit:
+async def wait_until(condition, seconds: float) -> bool:
+    """Wait until a condition holds; return whether it did within ``seconds``."""
+    deadline = time.monotonic() + seconds
+    while not condition():
+        if time.monotonic() > deadline:
             return False
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     return True
 
 
-def accepted(stage: Stage, number: int) -> bool:
-    """Whether a ticket stands in the table's books."""
+def is_accepted(stage: Stage, number: int) -> bool:
+    """Whether the table contains a ticket."""
     return f"{number:020d}" in stage.lab.table.rows.get("tickets", {})
 
 
-async def wait_in_force_everywhere(
+async def wait_in_effect_everywhere(
     stage: Stage,
     number: int,
-    seconds: float = IN_FORCE_SECONDS,
-    without: frozenset[str] = frozenset(),
+    seconds: float = MAX_IN_EFFECT_SECONDS,
+    excluded: frozenset[str] = frozenset(),
 ) -> float:
-    """Seconds from a ticket's acceptance until each engine's books show it.
+    """Return the seconds from a ticket's acceptance until every engine has loaded it.
 
-    More than ``seconds`` is a problem of the stage.
+    Records a problem of the scenario if this takes more than ``seconds``.
     """
-    await wait_until(lambda: accepted(stage, number), CALL_SECONDS)
-    begun = time.monotonic()
-    done = await wait_until(
-        lambda: not _behind(stage, number, without), seconds + CALL_SECONDS
+    await wait_until(lambda: is_accepted(stage, number), CALL_TIMEOUT_SECONDS)
+    started = time.monotonic()
+    in_effect = await wait_until(
+        lambda: not _vms_without_ticket(stage, number, excluded),
+        seconds + CALL_TIMEOUT_SECONDS,
+    )
+    elapsed = time.monotonic() - started
+    missing = sorted(_vms_without_ticket(stage, number, excluded))
+    expect(stage, in_effect, f"ticket {number} is not in effect on {missing}")
+    expect(
+        stage, elapsed <= seconds, f"ticket {number} is in effect after {elapsed:.2f} s"
     )
-    took = time.monotonic() - begun
-    late = sorted(_behind(stage, number, without))
-    expect(stage, done, f"ticket {number} is not in force on {late}")
-    expect(stage, took <= seconds, f"ticket {number} in force after {took:.2f} s")
-    stage.figures.setdefault(f"in_force_{number}", round(took, 3))
-    return took
+    stage.figures.setdefault(f"in_force_{number}", round(elapsed, 3))
+    return elapsed
 
 
-def _behind(stage: Stage, number: int, without: frozenset[str]) -> list[str]:
+def _vms_without_ticket(
+    stage: Stage, number: int, excluded: frozenset[str]
+) -> list[str]:
     return [
         vm
         for vm, engine in stage.lab.engines.items()
-        if vm not in without and engine.loaded.fence != number
+        if vm not in excluded and engine.loaded.fence != number
     ]
 
 
-async def report_in_force(stage: Stage, vm: str, number: int) -> list[str]:
-    """VMs on which a ticket is in force by ``ticket status``."""
-    answer = await ask(stage, vm, f"/v1/tickets/{number}/status")
-    return answer.body.get("in_force", [])
+async def vms_in_effect(stage: Stage, vm: str, number: int) -> list[str]:
+    """Return the VMs on which a ticket is in effect according to ``ticket status``."""
+    response = await query_entry(stage, vm, f"/v1/tickets/{number}/status")
+    return response.body.get("in_force", [])
--- a/packages/wasabideck_lab/wasabideck_lab/standin_platform.py
+++ b/packages/wasabideck_lab/wasabideck_lab/standin_platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform: table service, membership list, weight origin."""
+"""Stand-ins for the platform: table service, membership list and weight origin."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @define
 class TableStandin:
-    """A transactional table; its rows and counts are the lab's books."""
+    """A transactional table; the lab's checks read its rows and counters."""
 
     faults: Faults
     rows: dict[str, dict[str, dict]] = field(factory=dict)
@@ -28,7 +28,7 @@
     writes: int = 0
 
     def routes(self) -> list[web.RouteDef]:
-        """Routes that it serves."""
+        """Return the routes that it serves."""
         return [
             web.post("/v1/transact", self._transact),
             web.get("/v1/tables/{table}", self._scan),
@@ -39,16 +39,16 @@
         await self.faults.delay()
         table = self.rows.get(req.match_info["table"], {})
         if key := req.query.get("key"):
-            found = [(key, table[key])] if key in table else []
-            return web.json_response(found)
+            matches = [(key, table[key])] if key in table else []
+            return web.json_response(matches)
         prefix = req.query.get("prefix", "")
         above = int(req.query.get("above", "-1"))
-        found = [
+        matches = [
             (key, row)
             for key, row in sorted(table.items())
             if key.startswith(prefix) and row.get("sequence", 0) > above
         ]
-        return web.json_response(found)
+        return web.json_response(matches)
 
     async def _transact(self, req: web.Request) -> web.Response:
         self.writes += 1
@@ -58,70 +58,74 @@
             asyncio.get_running_loop().call_later(
                 self.faults.value("apply_late"), self._apply, body
             )
-            return _hang_up(req)
-        answer = self._apply(body)
+            return _drop_connection(req)
+        response = self._apply(body)
         if self.faults.strikes("lose_answer"):
-            return _hang_up(req)
-        return answer
+            return _drop_connection(req)
+        return response
 
     def _apply(self, body: dict) -> web.Response:
         for index, (table, key, expected) in enumerate(body["checks"]):
             row = self.rows.get(table, {}).get(key)
-            if not _holds(row, expected):
+            if not _matches(row, expected):
                 return web.json_response({"failed": index, "row": row}, status=409)
         for table, key, row in body["writes"]:
             self.rows.setdefault(table, {})[key] = row
         return web.json_response({})
 
 
-def _holds(row: dict | None, expected: dict | None) -> bool:
+def _matches(row: dict | None, expected: dict | None) -> bool:
     if row is None or expected is None:
         return row is expected
     return all(row.get(name) == value for name, value in expected.items())
 
 
-def _hang_up(req: web.Request) -> web.Response:
+def _drop_connection(req: web.Request) -> web.Response:
     req.transport.abort()
     return web.Response(status=500)
 
 
 @define
 class MembersStandin:
-    """The platform's lagging list of VMs."""
+    """The platform's list of VMs; readers see it with a configurable lag."""
 
     faults: Faults
-    _versions: list[tuple[float, dict[str, Member]]] = field(
+    _history: list[tuple[float, dict[str, Member]]] = field(
         factory=lambda: [(-math.inf, {})]
     )
     reads: int = 0
 
     def routes(self) -> list[web.RouteDef]:
-        """Routes that it serves."""
+        """Return the routes that it serves."""
         return [web.get("/v1/members", self._list)]
 
     def put(self, member: Member) -> None:
-        """Start a VM, or change what is known of it."""
-        self._change(self._versions[-1][1] | {member.vm: member})
+        """Add a VM to the list, or replace its entry."""
+        self._append_version(self._history[-1][1] | {member.vm: member})
 
     def remove(self, vm: str) -> None:
-        """End a VM."""
-        newest = dict(self._versions[-1][1])
+        """Remove a VM from the list."""
+        newest = dict(self._history[-1][1])
         newest.pop(vm, None)
-        self._change(newest)
+        self._append_version(newest)
 
     def newest(self) -> dict[str, Member]:
-        """The list as it is, without its lag."""
-        return self._versions[-1][1]
+        """Return the current list, without the lag."""
+        return self._history[-1][1]
 
-    def _change(self, members: dict[str, Member]) -> None:
-        self._versions.append((time.monotonic(), members))
+    def _append_version(self, members: dict[str, Member]) -> None:
+        self._history.append((time.monotonic(), members))
 
     async def _list(self, req: web.Request) -> web.Response:
         self.reads += 1
         await self.faults.delay()
-        seen = time.monotonic() - self.faults.value("lag")
-        known = [row for row in enumerate(self._versions) if row[1][0] <= seen]
-        index, (_, members) = known[-1]
+        visible_until = time.monotonic() - self.faults.value("lag")
+        visible = [
+            version
+            for version in enumerate(self._history)
+            if version[1][0] <= visible_until
+        ]
+        index, (_, members) = visible[-1]
         tag = f'"{index}"'
         if req.headers.get("If-None-Match") == tag:
             return web.Response(status=304, headers={"ETag": tag})
@@ -133,7 +137,7 @@
 
 @define
 class WeightsStandin:
-    """The origin of weights, behind one paced link; counts what is read."""
+    """The weight origin behind one link of limited rate; counts the reads."""
 
     faults: Faults
     pacer: Pacer
@@ -143,14 +147,14 @@
     bytes_read: int = 0
 
     def routes(self) -> list[web.RouteDef]:
-        """Routes that it serves."""
+        """Return the routes that it serves."""
         return [
             web.get("/v1/manifests/{digest}", self._manifest),
             web.get("/v1/chunks/{digest}", self._chunk),
         ]
 
     def publish(self, manifest: Manifest, chunks: list[bytes]) -> str:
-        """Make a version's weights readable; the manifest's digest."""
+        """Publish the weights of a version, and return the digest of its manifest."""
         self.manifests[manifest.digest] = manifest_to_json(manifest)
         self.chunks.update(zip(manifest.chunks, chunks, strict=True))
         return manifest.digest
@@ -170,7 +174,7 @@
             await asyncio.sleep(3600)
         self.chunk_reads[digest] += 1
         self.bytes_read += len(data)
-        await self.pacer.take(len(data))
+        await self.pacer.transmit(len(data))
         if self.faults.strikes("corrupt"):
             data = bytes([data[0] ^ 1]) + data[1:]
         return web.Response(body=data)
--- a/packages/wasabideck_lab/wasabideck_lab/toml.py
+++ b/packages/wasabideck_lab/wasabideck_lab/toml.py
@@ -1,4 +1,4 @@
-"""Writes settings as TOML; the standard library only reads it."""
+"""TOML writer for settings; the standard library only has a TOML reader."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 def to_toml(table: dict) -> str:
-    """TOML of a table of values, tables and lists of tables."""
-    return "\n".join(_lines(table, "")) + "\n"
+    """Return a table of values, tables and lists of tables as TOML."""
+    return "\n".join(_format_table(table, "")) + "\n"
 
 
-def _lines(table: dict, path: str) -> list[str]:
-    lines = [f"{k} = {_value(v)}" for k, v in table.items() if not _is_table(v)]
+def _format_table(table: dict, parent_path: str) -> list[str]:
+    lines = [f"{k} = {_format_value(v)}" for k, v in table.items() if not _is_table(v)]
     for name, value in table.items():
-        place = f"{path}.{name}" if path else name
+        header = f"{parent_path}.{name}" if parent_path else name
         if isinstance(value, dict):
-            lines += ["", f"[{place}]", *_lines(value, place)]
+            lines += ["", f"[{header}]", *_format_table(value, header)]
         elif _is_table(value):
             for row in value:
-                lines += ["", f"[[{place}]]", *_lines(row, place)]
+                lines += ["", f"[[{header}]]", *_format_table(row, header)]
     return lines
 
 
@@ -29,6 +29,6 @@
     return isinstance(value, dict) or bool(rows)
 
 
-def _value(value: object) -> str:
-    # JSON's strings, numbers, booleans and arrays of them are TOML's as well.
+def _format_value(value: object) -> str:
+    # Strings, numbers, booleans and arrays of them have the same syntax as in JSON.
     return json.dumps(value)
--- a/packages/wasabideck_lab/wasabideck_lab/traffic.py
+++ b/packages/wasabideck_lab/wasabideck_lab/traffic.py
@@ -1,4 +1,4 @@
-"""Callers' traffic for the fault scenarios, with every final outcome kept."""
+"""Traffic of callers for the fault scenarios; records each request's final outcome."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 __all__ = ["Result", "Traffic"]
 
-CONNECTION_TRIES = 4
-CALL_SECONDS = 40.0
+MAX_CONNECTION_ATTEMPTS = 4
+CALL_TIMEOUT_SECONDS = 40.0
 
 
 @frozen
 class Result:
-    """One request's final outcome, as its caller saw it.
+    """The final outcome of one request as seen by its caller.
 
     Attributes
     ----------
     outcome : str
         ``answered``, ``not-run`` or ``unknown``.
     lines : list of dict
-        Lines of the answer; the last one is the outcome's tag.
+        Lines of the response; the last line contains the outcome.
     """
 
     key: str
@@ -47,12 +47,12 @@
 
 @define
 class Traffic:
-    """Sends requests at a steady rate through whichever entries are up.
+    """Sends requests at a constant rate through the entries that are running.
 
     Attributes
     ----------
     entries : callable
-        Present ``host:port`` addresses of the entries.
+        Returns the current ``host:port`` addresses of the entries.
     """
 
     entries: Callable[[], list[str]]
@@ -63,15 +63,15 @@
     sent: int = 0
 
     async def run(self, requests: int) -> None:
-        """Send so many requests, a third of them not repeatable, and await all."""
+        """Send requests, a third of them not repeatable, and wait for all responses."""
         async with aiohttp.ClientSession() as session:
             tasks = []
             for index in range(requests):
-                tasks.append(asyncio.create_task(self._one(session, index)))
+                tasks.append(asyncio.create_task(self._send_generated(session, index)))
                 await asyncio.sleep(1 / self.rate)
             await asyncio.gather(*tasks)
 
-    async def _one(self, session: aiohttp.ClientSession, index: int) -> None:
+    async def _send_generated(self, session: aiohttp.ClientSession, index: int) -> None:
         service, route = (
             ("orders", "print"),
             ("drafting", "brief"),
@@ -89,17 +89,18 @@
         key: str,
         again: bool = False,
     ) -> Result:
-        """One request; a connection that breaks is tried again at another entry.
+        """Send one request; on a connection failure, retry at a randomly chosen entry.
 
-        ``again`` says that the key was sent before, as an honest caller does.
+        ``again`` states that the key was sent before: it raises the number that the
+        request reports in ``x-try``, as a correct caller does.
         """
         self.sent += 1
         begun = time.monotonic()
         reason, status, data, headers = "", 0, b"", {}
-        for number in range(1 + again, CONNECTION_TRIES + 1 + again):
+        for attempt_number in range(1 + again, MAX_CONNECTION_ATTEMPTS + 1 + again):
             try:
                 status, data, headers = await self._post(
-                    session, service, route, body, key, number
+                    session, service, route, body, key, attempt_number
                 )
                 break
             except (TimeoutError, aiohttp.ClientError, OSError) as exc:
@@ -109,14 +110,14 @@
             lines = [orjson.loads(line) for line in data.splitlines() if line]
         except orjson.JSONDecodeError:
             lines, reason = [], f"Malformed{status}"
-        tag = lines[-1] if lines else {"outcome": "unknown", "reason": reason}
+        outcome = lines[-1] if lines else {"outcome": "unknown", "reason": reason}
         result = Result(
             key,
             service,
             route,
             body,
-            tag.get("outcome", "unknown"),
-            tag.get("reason", ""),
+            outcome.get("outcome", "unknown"),
+            outcome.get("reason", ""),
             lines,
             headers.get("x-wasabideck-version", ""),
             headers.get("x-wasabideck-ticket", ""),
@@ -133,7 +134,7 @@
         route: str,
         body: str,
         key: str,
-        number: int,
+        attempt_number: int,
     ) -> tuple[int, bytes, dict]:
         address = self.rng.choice(self.entries())
         url = f"http://{address}/v1/services/{service}/{route}"
@@ -141,14 +142,14 @@
             "authorization": f"Bearer {CALLER_TOKEN}",
             "idempotency-key": key,
             "x-deadline-ms": str(self.deadline_ms),
-            "x-try": str(number),
+            "x-try": str(attempt_number),
         }
-        limit = aiohttp.ClientTimeout(total=CALL_SECONDS)
-        req = session.post(url, data=body.encode(), headers=headers, timeout=limit)
-        async with req as answer:
-            return answer.status, await answer.read(), dict(answer.headers)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS)
+        req = session.post(url, data=body.encode(), headers=headers, timeout=timeout)
+        async with req as response:
+            return response.status, await response.read(), dict(response.headers)
 
 
 def subject_of(body: str) -> str:
-    """What the engine's stand-in calls a body by, in every word of its answer."""
+    """Return the hash of a body that the engine stand-in puts into every response word."""
     return hashlib.sha256(body.encode()).hexdigest()[:6]
--- a/packages/wasabideck_lab/wasabideck_lab/weights.py
+++ b/packages/wasabideck_lab/wasabideck_lab/weights.py
@@ -1,4 +1,4 @@
-"""Weights made up from a seed, for the stand-ins."""
+"""Random weights for the stand-ins, generated from a seed."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 def make_weights(
     model: str, version: str, chunks: int, chunk_bytes: int, seed: int
 ) -> tuple[Manifest, list[bytes]]:
-    """A manifest and its chunks; the same for the same arguments."""
+    """Return a manifest and its chunks; equal arguments give equal weights."""
     rng = random.Random(f"{seed}/{model}/{version}")
-    data = [rng.randbytes(chunk_bytes) for _ in range(chunks)]
-    digests = tuple(chunk_digest(chunk) for chunk in data)
+    chunk_data = [rng.randbytes(chunk_bytes) for _ in range(chunks)]
+    digests = tuple(chunk_digest(chunk) for chunk in chunk_data)
     manifest = Manifest(model, version, chunk_bytes, chunks * chunk_bytes, digests)
-    return manifest, data
+    return manifest, chunk_data
