--- a/packages/wasabideck_lab/wasabideck_lab/distribute.py
+++ b/packages/wasabideck_lab/wasabideck_lab/distribute.py
@@ -36,9 +36,9 @@
 from .traffic import Traffic
 from .weights import make_weights
 
-__all__ = ["POLICIES", "run_distribute"]
+__all__ = ["DISTRIBUTION_POLICIES", "run_distribute"]
 
-POLICIES = ("swarm", "random", "tree", "origin")
+DISTRIBUTION_POLICIES = ("swarm", "random", "tree", "origin")
 SERVICE = "drafting"
 SERVICES = [{"name": SERVICE, "kind": "model"}]
 MAX_CONCURRENT_STARTS = 12
--- a/packages/wasabideck_lab/wasabideck_lab/distribute_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/distribute_command.py
@@ -9,7 +9,7 @@
 import orjson
 
 from .decisions import measure_decisions
-from .distribute import POLICIES, run_distribute
+from .distribute import DISTRIBUTION_POLICIES, run_distribute
 from .plot import draw_svg
 from .rollout import Plan
 
@@ -54,7 +54,7 @@
     if unknown := set(fault_fractions) - {"kill", "corrupt"}:
         sys.exit(f"distribute: unknown faults {sorted(unknown)}; known: kill, corrupt")
     names = policy.split(",")
-    names = POLICIES if policy == "all" else names
+    names = DISTRIBUTION_POLICIES if policy == "all" else names
     rows = []
     for name in names:
         plan = Plan(
--- a/packages/wasabideck_lab/wasabideck_lab/load.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load.py
@@ -33,7 +33,7 @@
 from .standin_batch import Batch
 from .weights import make_weights
 
-__all__ = ["LOAD_FAULTS", "run_load"]
+__all__ = ["LOAD_FAULTS", "measure_load"]
 
 CHUNK_COUNT = 16
 CHUNK_BYTES = 4096
@@ -159,7 +159,7 @@
     arrival, kind = record.arrival, record.arrival.kind
     headers = {
         "authorization": f"Bearer {_token(arrival.organisation)}",
-        "idempotency-key": arrival.key,
+        "idempotency-key": arrival.idempotency_key,
         "x-deadline-ms": str(int(kind.deadline * 1000)),
     }
     path = f"/v1/services/{kind.service}/{kind.route}"
@@ -261,7 +261,7 @@
 }
 
 
-async def run_load(
+async def measure_load(
     deployment: str, policy: str, burst: float, fault: str, seconds: float, seed: int
 ) -> dict:
     """Run a load test against a new fleet, and return its results as one row."""
--- a/packages/wasabideck_lab/wasabideck_lab/load_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load_command.py
@@ -10,7 +10,7 @@
 import orjson
 from wasabideck_policy.routing import POLICIES
 
-from .load import LOAD_FAULTS, run_load
+from .load import LOAD_FAULTS, measure_load
 from .load_mix import DEPLOYMENTS
 
 __all__ = ["load"]
@@ -52,7 +52,7 @@
     for fault, multiple, name in itertools.product(
         _split_names(faults), bursts, policies
     ):
-        row = run_load(deployment, name, multiple, fault, seconds, seed)
+        row = measure_load(deployment, name, multiple, fault, seconds, seed)
         print(_format_row(asyncio.run(row), json), flush=True)
 
 
--- a/packages/wasabideck_lab/wasabideck_lab/load_mix.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load_mix.py
@@ -123,7 +123,7 @@
     kind: RequestKind
     organisation: str
     body: str
-    key: str
+    idempotency_key: str
     region: int
 
 
@@ -139,7 +139,7 @@
             range(len(ORGANISATION_SHARES)), ORGANISATION_SHARES
         )[0]
         prefix = f"org-{organisation} {kind.route} {rng.randrange(TEMPLATES_PER_ROUTE)}"
-        key = f"{rng.getrandbits(64):016x}"
-        body = f"{prefix:<{PREFIX_BYTES}}{key}"
+        idempotency_key = f"{rng.getrandbits(64):016x}"
+        body = f"{prefix:<{PREFIX_BYTES}}{idempotency_key}"
         region = rng.randrange(len(deployment.regions))
-        yield Arrival(due, kind, f"org-{organisation}", body, key, region)
+        yield Arrival(due, kind, f"org-{organisation}", body, idempotency_key, region)
--- a/packages/wasabideck_lab/wasabideck_lab/relay.py
+++ b/packages/wasabideck_lab/wasabideck_lab/relay.py
@@ -32,15 +32,15 @@
     ----------
     target : callable
         Returns the current ``host:port`` of the target.
-    latency : float
+    latency_seconds : float
         Seconds added in each direction.
-    rate : float
+    bytes_per_second : float
         Bytes per second in each direction of a connection; 0 is unlimited.
     """
 
     target: Callable[[], str]
-    latency: float = 0.0
-    rate: float = 0.0
+    latency_seconds: float = 0.0
+    bytes_per_second: float = 0.0
     address: str = ""
     _links: set[_Link] = field(factory=set)
     _server: asyncio.Server | None = None
@@ -109,10 +109,10 @@
                 await asyncio.Event().wait()
             if not data:
                 return
-            if self.rate:
-                await asyncio.sleep(len(data) / self.rate)
-            if self.latency:
-                loop.call_later(self.latency, _write, writer, data)
+            if self.bytes_per_second:
+                await asyncio.sleep(len(data) / self.bytes_per_second)
+            if self.latency_seconds:
+                loop.call_later(self.latency_seconds, _write, writer, data)
             else:
                 _write(writer, data)
 
--- a/packages/wasabideck_lab/wasabideck_lab/rollout_books.py
+++ b/packages/wasabideck_lab/wasabideck_lab/rollout_books.py
@@ -127,8 +127,10 @@
     """
     start, end = window
     results = run.traffic.results
-    before = [r.seconds for r in results if r.begun + r.seconds < start]
-    during = [r.seconds for r in results if start <= r.begun <= end]
+    before = [
+        r.duration_seconds for r in results if r.started_at + r.duration_seconds < start
+    ]
+    during = [r.duration_seconds for r in results if start <= r.started_at <= end]
     if not before or not during:
         return None
     return round(_p99(during) / _p99(before), 3)
--- a/packages/wasabideck_lab/wasabideck_lab/scenarios_answers.py
+++ b/packages/wasabideck_lab/wasabideck_lab/scenarios_answers.py
@@ -95,7 +95,7 @@
 
 @scenario("store-loses-answers")
 async def store_loses_answers(stage: Stage) -> None:
-    """Lose table responses, first to writes that took effect, then also to late ones."""
+    """Lose responses to table writes; the writes take effect at once, later delayed."""
     faults = stage.lab.table.faults.active
     await asyncio.sleep(1)
     faults["lose_answer"] = 0.3
@@ -142,7 +142,7 @@
                 body = f"boom {service} {route}"
                 key = f"boom-{index}"
                 result = await stage.traffic.send(
-                    session, service, route, body, key, again=attempt > 0
+                    session, service, route, body, key, is_retry=attempt > 0
                 )
                 if result.outcome == "answered":
                     stage.problems.append(f"{body}: answered")
--- a/packages/wasabideck_lab/wasabideck_lab/scenarios_tickets.py
+++ b/packages/wasabideck_lab/wasabideck_lab/scenarios_tickets.py
@@ -160,8 +160,12 @@
     status = await query_entry(stage, "entry-2", "/v1/tickets/2/status")
     expect(stage, status.title == "TicketUnheard", f"unexpected status: {status}")
     await asyncio.sleep(EFFECT_DELAY_SECONDS + 1)
-    again = await query_entry(stage, "entry-3", "/v1/tickets/2/status")
-    expect(stage, again.title == "TicketUnheard", f"the status changed: {again}")
+    later_status = await query_entry(stage, "entry-3", "/v1/tickets/2/status")
+    expect(
+        stage,
+        later_status.title == "TicketUnheard",
+        f"the status changed: {later_status}",
+    )
     faults["apply_late"] = EFFECT_DELAY_SECONDS
     second = await submit_ticket(stage, "entry-1", 3)
     del faults["apply_late"]
@@ -197,7 +201,7 @@
 
 
 async def _suspend_during_tickets(stage: Stage, vm: str) -> None:
-    stage.traffic.rate = SUSPENSION_REQUESTS_PER_SECOND
+    stage.traffic.requests_per_second = SUSPENSION_REQUESTS_PER_SECOND
     process = stage.lab.processes[vm]
     suspended = frozenset({vm})
     process.freeze()
@@ -257,7 +261,9 @@
         engine.faults.active |= {"order_late": EFFECT_DELAY_SECONDS, "ignore_fence": 1}
     await submit_ticket(stage, "entry-1", 2)
     await wait_until(
-        lambda: all(e.orders and e.orders[-1]["fence"] == 2 for e in engines),
+        lambda: all(
+            e.received_orders and e.received_orders[-1]["fence"] == 2 for e in engines
+        ),
         MAX_SETTLE_SECONDS,
     )
     for engine in engines:
@@ -273,7 +279,7 @@
 @scenario("agent-leaves-lagging-list")
 async def agent_leaves_lagging_list(stage: Stage) -> None:
     """Shut down a backend server under load; the membership list still contains it."""
-    stage.traffic.rate = SHUTDOWN_REQUESTS_PER_SECOND
+    stage.traffic.requests_per_second = SHUTDOWN_REQUESTS_PER_SECOND
     engine = stage.lab.engines["draft-1"]
     shutdown = asyncio.create_task(stage.lab.processes["draft-1"].stop())
     await asyncio.sleep(SHUTDOWN_SECONDS)
@@ -301,7 +307,7 @@
 @scenario("rolling-replacement")
 async def rolling_replacement(stage: Stage) -> None:
     """Replace every entry and every agent by a new VM, one after the other."""
-    stage.traffic.rate = REPLACEMENT_REQUESTS_PER_SECOND
+    stage.traffic.requests_per_second = REPLACEMENT_REQUESTS_PER_SECOND
     for old, new in (("entry-1", "entry-4"), ("entry-2", "entry-5")):
         await stage.lab.start_entry(new, SERVICES)
         await _stop_and_remove(stage, old)
--- a/packages/wasabideck_lab/wasabideck_lab/slopes.py
+++ b/packages/wasabideck_lab/wasabideck_lab/slopes.py
@@ -31,13 +31,13 @@
     base: float
     worst_residual: float
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the value of the line at a size."""
         return self.base + self.per_unit * size
 
     def shown(self, target: float) -> dict:
         """Return the line as a dict, with its value at the target size."""
-        return asdict(self) | {"target": target, "at_target": self.at(target)}
+        return asdict(self) | {"target": target, "at_target": self.value_at(target)}
 
 
 def fit(
--- a/packages/wasabideck_lab/wasabideck_lab/standin_servers.py
+++ b/packages/wasabideck_lab/wasabideck_lab/standin_servers.py
@@ -92,7 +92,7 @@
     staged: dict[str, dict[int, str]] = field(factory=dict)
     runs: Counter = field(factory=Counter)
     running: int = 0
-    orders: list[dict] = field(factory=list)
+    received_orders: list[dict] = field(factory=list)
     history: list[int] = field(factory=list)
     mixed: int = 0
     pending_orders: int = 0
@@ -130,7 +130,7 @@
 
     async def _receive_order(self, req: web.Request) -> web.Response:
         order = await req.json()
-        self.orders.append(order)
+        self.received_orders.append(order)
         self.overlapping_orders += self.pending_orders > 0
         self.pending_orders += 1
         if self.faults.value("order_late"):
@@ -186,7 +186,7 @@
         return web.json_response({"load": load, "at": at})
 
     async def _report_cache_events(self, req: web.Request) -> web.Response:
-        """Respond with the cache events after a number, with gaps if ``cache_gaps`` is on."""
+        """Respond with the cache events after a number; ``cache_gaps`` omits some."""
         if self.batch is None:
             return web.json_response([])
         after = int(req.query.get("after", "0"))
--- a/packages/wasabideck_lab/wasabideck_lab/traffic.py
+++ b/packages/wasabideck_lab/wasabideck_lab/traffic.py
@@ -41,8 +41,8 @@
     lines: list[dict]
     version: str
     ticket: str
-    begun: float
-    seconds: float
+    started_at: float
+    duration_seconds: float
 
 
 @define
@@ -57,10 +57,10 @@
 
     entries: Callable[[], list[str]]
     rng: random.Random
-    rate: float = 100.0
+    requests_per_second: float = 100.0
     deadline_ms: int = 15_000
     results: list[Result] = field(factory=list)
-    sent: int = 0
+    sent_count: int = 0
 
     async def run(self, requests: int) -> None:
         """Send requests, a third of them not repeatable, and wait for all responses."""
@@ -68,7 +68,7 @@
             tasks = []
             for index in range(requests):
                 tasks.append(asyncio.create_task(self._send_generated(session, index)))
-                await asyncio.sleep(1 / self.rate)
+                await asyncio.sleep(1 / self.requests_per_second)
             await asyncio.gather(*tasks)
 
     async def _send_generated(self, session: aiohttp.ClientSession, index: int) -> None:
@@ -87,17 +87,19 @@
         route: str,
         body: str,
         key: str,
-        again: bool = False,
+        is_retry: bool = False,
     ) -> Result:
         """Send one request; on a connection failure, retry at a randomly chosen entry.
 
-        ``again`` states that the key was sent before: it raises the number that the
+        ``is_retry`` states that the key was sent before: it raises the number that the
         request reports in ``x-try``, as a correct caller does.
         """
-        self.sent += 1
-        begun = time.monotonic()
+        self.sent_count += 1
+        started_at = time.monotonic()
         reason, status, data, headers = "", 0, b"", {}
-        for attempt_number in range(1 + again, MAX_CONNECTION_ATTEMPTS + 1 + again):
+        for attempt_number in range(
+            1 + is_retry, MAX_CONNECTION_ATTEMPTS + 1 + is_retry
+        ):
             try:
                 status, data, headers = await self._post(
                     session, service, route, body, key, attempt_number
@@ -121,8 +123,8 @@
             lines,
             headers.get("x-wasabideck-version", ""),
             headers.get("x-wasabideck-ticket", ""),
-            begun,
-            time.monotonic() - begun,
+            started_at,
+            time.monotonic() - started_at,
         )
         self.results.append(result)
         return result
@@ -151,5 +153,5 @@
 
 
 def subject_of(body: str) -> str:
-    """Return the hash of a body that the engine stand-in puts into every response word."""
+    """Return the hash of a body that each word of the engine stand-in contains."""
     return hashlib.sha256(body.encode()).hexdigest()[:6]
