--- a/packages/wasabideck_lab/wasabideck_lab/__main__.py
+++ b/packages/wasabideck_lab/wasabideck_lab/__main__.py
@@ -10,7 +10,7 @@
 from wasabideck_base.command_line import commands, run_commands
 from wasabideck_base.process import run_process
 
-from . import scenarios_answers, scenarios_tickets  # noqa: F401  (they register)
+from . import scenarios_answers, scenarios_tickets  # noqa: F401  (registers scenarios)
 from .burst_ablation import ablation
 from .burst_command import bursts
 from .capacity import MEASUREMENTS, measure_all
@@ -19,7 +19,7 @@
 from .distribute_command import decisions, distribute
 from .faults import FAULTS
 from .faults_run import SCENARIOS, run_scenario
-from .in_force import measure_in_force
+from .in_force import measure_time_to_effect
 from .load_command import load
 from .losses import losses
 from .overhead import measure_overhead
@@ -31,10 +31,10 @@
 
 @commands
 class _Commands:
-    """Stand-ins, load generator and experiments; not shipped."""
+    """Stand-in servers, load generator and experiments; not part of a release."""
 
     def demo(self) -> None:
-        """Run the main job on an embedded default and print its report."""
+        """Run a rollout and two requests on a built-in fleet and print a report."""
         try:
             code = run_demo()
         except DemoFailed as exc:
@@ -43,44 +43,44 @@
             sys.exit(code)
 
     def playground(self, folder: str = "playground", seed: int = 0) -> None:
-        """Run a small fleet until Ctrl-C, to try the commands on.
+        """Run a small fleet until Ctrl-C, for trying out the commands.
 
         Parameters
         ----------
         folder : str
-            Folder that gets settings, tickets, access file and event files.
+            Folder to write settings, tickets, access file and event files to.
         seed : int
-            Seed of the made-up weights.
+            Seed of the generated weights.
         """
         run_process(lambda stop: run_playground(Path(folder), stop, seed))
 
     def write_samples(self, folder: str = "samples") -> None:
-        """Write the sample settings of the two users' deployments.
+        """Write the sample settings of the two sample deployments.
 
         Parameters
         ----------
         folder : str
-            Folder that gets one folder a deployment.
+            Folder to write one subfolder per deployment to.
         """
         print(f"{write_samples(Path(folder))} files in {folder}")
 
     def list_faults(self) -> None:
-        """List the faults that stand-ins can be switched to."""
-        print(_faults_listed())
+        """List the faults that can be switched on in stand-ins."""
+        print(_faults_help())
 
     def claims(
         self, rate: float = 300.0, seconds: float = 3.0, table_seconds: float = 0.02
     ) -> None:
-        """Take claims with few or many transactions under way; their number and waits.
+        """Take claims with few or many concurrent transactions, and print latencies.
 
         Parameters
         ----------
         rate : float
-            Claims a second at one agent.
+            Claims per second at one agent.
         seconds : float
-            How long.
+            Duration of each run.
         table_seconds : float
-            What the table takes for one transaction.
+            Duration of one transaction at the table.
         """
         for senders in (1, 2, 4, 1000):
             row = asyncio.run(run_claims(rate, seconds, table_seconds, senders))
@@ -93,7 +93,7 @@
         requests: int = 1000,
         json: bool = False,
     ) -> None:
-        """Run fault scenarios against the real binaries, and audit them.
+        """Run fault scenarios against the real binaries, and audit the results.
 
         Parameters
         ----------
@@ -102,21 +102,23 @@
         seed : int
             Seed of the traffic and the faults.
         requests : int
-            Requests sent while the faults strike.
+            Requests sent while the faults are active.
         json : bool
-            Print one JSON object a scenario.
+            Print one JSON object per scenario.
         """
         names = sorted(SCENARIOS) if scenario == "all" else [scenario]
         unknown = set(names) - SCENARIOS.keys()
         if unknown:
-            sys.exit(f"faults: no scenario {sorted(unknown)}; {sorted(SCENARIOS)}")
-        dirty = 0
+            sys.exit(
+                f"faults: no scenario {sorted(unknown)}; known: {sorted(SCENARIOS)}"
+            )
+        failed = 0
         for name in names:
             row = asyncio.run(run_scenario(name, seed, requests))
-            dirty += not row["clean"]
+            failed += not row["clean"]
             print(orjson.dumps(row).decode() if json else row, flush=True)
-        if dirty:
-            sys.exit(f"faults: {dirty} scenarios are not clean")
+        if failed:
+            sys.exit(f"faults: {failed} scenarios have violations or problems")
 
     ablation = staticmethod(ablation)
     bursts = staticmethod(bursts)
@@ -126,7 +128,7 @@
     losses = staticmethod(losses)
 
     def capacity(self, only: str = "all", json: bool = False) -> None:
-        """Measure the slopes that docs/CAPACITY.md is worked out from.
+        """Measure the slopes from which docs/CAPACITY.md is calculated.
 
         Parameters
         ----------
@@ -140,18 +142,18 @@
             print(orjson.dumps(row).decode() if json else row, flush=True)
 
     def in_force(self, json: bool = False) -> None:
-        """Measure the time from a ticket's acceptance to in force, by fleet size.
+        """Measure the time from a ticket's acceptance to in effect, by fleet size.
 
         Parameters
         ----------
         json : bool
             Print JSON.
         """
-        for row in asyncio.run(measure_in_force()):
+        for row in asyncio.run(measure_time_to_effect()):
             print(orjson.dumps(row).decode() if json else row, flush=True)
 
     def overhead(self, json: bool = False) -> None:
-        """Measure start-up, idle memory and added latency of the path.
+        """Measure start-up time, idle memory and the latency added by the request path.
 
         Parameters
         ----------
@@ -165,12 +167,14 @@
 def main() -> None:
     """Run the lab's command line."""
     name = "python -m wasabideck_lab"
-    run_commands(_Commands(), name, more_help=_faults_listed())
+    run_commands(_Commands(), name, more_help=_faults_help())
 
 
-def _faults_listed() -> str:
-    lines = (f"    {name:<14} {meaning}" for name, meaning in FAULTS.items())
-    return "\n".join(["FAULTS", "    Switches of the stand-ins:", "", *lines])
+def _faults_help() -> str:
+    lines = (f"    {name:<14} {effect}" for name, effect in FAULTS.items())
+    return "\n".join(
+        ["FAULTS", "    Faults that stand-ins can be switched to:", "", *lines]
+    )
 
 
 if __name__ == "__main__":
--- a/packages/wasabideck_lab/wasabideck_lab/audit.py
+++ b/packages/wasabideck_lab/wasabideck_lab/audit.py
@@ -1,4 +1,4 @@
-"""Judges a scenario from the stand-ins' own books."""
+"""Audits a fault scenario against the records that the stand-ins keep."""
 
 from __future__ import annotations
 
@@ -15,12 +15,26 @@
 
 @frozen
 class Audit:
-    """Counts of one scenario; the last five must be 0.
+    """Counts of one scenario. The last five count violations and must be 0.
 
     Attributes
     ----------
+    sent, answered, not_run, unknown : int
+        Requests sent, and how many of them had each outcome.
+    reasons : dict of str to int
+        Requests that were not answered, by outcome and reason.
+    run_twice : int
+        Non-repeatable requests that plain services ran more than once.
+    falsely_not_run : int
+        Non-repeatable requests reported as not run that a plain service did run.
+    reverted : int
+        Orders that an engine carried out after one with a higher fencing number.
+    mixed : int
+        Partial or mixed models that engines loaded, and responses to which more
+        than one version contributed.
     not_whole : int
-        Answers that were called answered and were not the whole own answer.
+        Responses with the outcome "answered" that were incomplete, or another
+        request's.
     """
 
     sent: int
@@ -36,17 +50,17 @@
 
     @property
     def clean(self) -> bool:
-        """Whether nothing that must never happen has happened."""
-        wrong = (self.run_twice, self.falsely_not_run, self.reverted)
-        return not any((*wrong, self.mixed, self.not_whole))
+        """Whether there were no violations."""
+        violations = (self.run_twice, self.falsely_not_run, self.reverted)
+        return not any((*violations, self.mixed, self.not_whole))
 
 
 def audit(lab: Lab, results: Iterable[Result]) -> Audit:
-    """Compare what callers were told with what the servers did."""
+    """Return the audit: the callers' results compared with the servers' records."""
     results = list(results)
     outcomes = Counter(r.outcome for r in results)
     refused = (r for r in results if r.outcome != "answered")
-    runs = _runs(lab)
+    runs = _runs_by_key(lab)
     once = [r for r in results if r.route == "print"]
     return Audit(
         sent=len(results),
@@ -56,29 +70,36 @@
         reasons=dict(Counter(f"{r.outcome}:{r.reason}" for r in refused)),
         run_twice=sum(runs[r.key] > 1 for r in once),
         falsely_not_run=sum(runs[r.key] > 0 for r in once if r.outcome == "not-run"),
-        reverted=sum(_reversals(engine.history) for engine in lab.engines.values()),
-        mixed=_mixed(lab, results),
-        not_whole=sum(not _whole(lab, r) for r in results if r.outcome == "answered"),
+        reverted=sum(
+            _count_reversals(engine.history) for engine in lab.engines.values()
+        ),
+        mixed=_count_mixed(lab, results),
+        not_whole=sum(
+            not _is_complete(lab, r) for r in results if r.outcome == "answered"
+        ),
     )
 
 
-def _runs(lab: Lab) -> Counter:
+def _runs_by_key(lab: Lab) -> Counter:
     runs: Counter = Counter()
     for plain in lab.plains.values():
         runs.update(plain.runs)
     return runs
 
 
-def _reversals(history: list[int]) -> int:
+def _count_reversals(history: list[int]) -> int:
     pairs = zip(history, history[1:], strict=False)
     return sum(later < earlier for earlier, later in pairs)
 
 
-def _mixed(lab: Lab, results: list[Result]) -> int:
-    """Partial or mixed models loaded, and answers made by more than one version."""
-    loaded = sum(engine.mixed for engine in lab.engines.values())
+def _count_mixed(lab: Lab, results: list[Result]) -> int:
+    """Return how many loads were partial or mixed plus how many responses were mixed.
+
+    More than one version contributed to a mixed response.
+    """
+    mixed_loads = sum(engine.mixed for engine in lab.engines.values())
     drafts = (r for r in results if r.service == "drafting")
-    return loaded + sum(len(_versions(r)) > 1 for r in drafts)
+    return mixed_loads + sum(len(_versions(r)) > 1 for r in drafts)
 
 
 def _versions(result: Result) -> set[str]:
@@ -86,11 +107,11 @@
     return {word[1] for word in words}
 
 
-def _whole(lab: Lab, result: Result) -> bool:
+def _is_complete(lab: Lab, result: Result) -> bool:
     text = "".join(line.get("text", "") for line in result.lines)
     if result.service != "drafting":
         return f'"{result.key}"' in text
     tokens = next(iter(lab.engines.values())).tokens
     subject = subject_of(result.body)
-    wanted = "".join(f"{subject}-{result.version}-{i} " for i in range(tokens))
-    return text == wanted
+    expected = "".join(f"{subject}-{result.version}-{i} " for i in range(tokens))
+    return text == expected
--- a/packages/wasabideck_lab/wasabideck_lab/burst_ablation.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_ablation.py
@@ -1,4 +1,7 @@
-"""What each mechanism is worth under the modelled loads: one switched off at a time."""
+"""Ablation study of the burst model: switches off one mechanism at a time.
+
+The drop in the score shows what the mechanism contributes under the modelled loads.
+"""
 
 from __future__ import annotations
 
@@ -12,41 +15,42 @@
 from wasabideck_policy.late_lane import LateLane
 
 from .burst_command import LOADS
-from .burst_model import BurstModel, Kind, play
+from .burst_model import BurstModel, DraftKind, play
 from .burst_policies import Product
 from .engine_model import EngineCosts
 
 __all__ = ["ablation"]
 
-# How a load's parts count: all of it, and its two worst windows.
-WHOLE_PART, WORST_PART = 0.4, 0.6
-FORMER_LOOK_SECONDS = 0.25
-NEVER = float("inf")
+# Weights in a load's score: of the whole load, and of its two worst windows.
+WHOLE_WEIGHT, WORST_WEIGHT = 0.4, 0.6
+PREVIOUS_REPORT_INTERVAL_SECONDS = 0.25
+NO_DRAIN_LIMIT_SECONDS = float("inf")
 
 
 @frozen
 class Switch:
-    """One mechanism, and how the model is played without it.
+    """How the model is run without one mechanism.
 
     Attributes
     ----------
     owner, name, value : object, str, object
-        The attribute that is replaced, and by what; an empty name for none.
-    load : callable
-        The load without it.
+        Object, name and new value of the attribute to replace. An empty name replaces
+        none.
+    change_load : callable
+        Returns a load without the mechanism.
     """
 
     owner: object = None
     name: str = ""
     value: object = None
-    load: Callable[[BurstModel], BurstModel] = lambda load: load
+    change_load: Callable[[BurstModel], BurstModel] = lambda load: load
 
 
 def _always(*args: object) -> bool:
     return True
 
 
-def _at_once(load: BurstModel) -> BurstModel:
+def _swap_simultaneously(load: BurstModel) -> BurstModel:
     phases = [evolve(p, swaps=(0.0,) * len(p.swaps)) for p in load.phases]
     return evolve(load, phases=phases)
 
@@ -64,65 +68,75 @@
     "sent ahead (all are)": Switch(FreshShare, "draw", _always),
     "late ones in turn": Switch(LateLane, "has_room", _always),
     "news ten times a second": Switch(
-        load=lambda load: evolve(load, look_seconds=FORMER_LOOK_SECONDS)
+        change_load=lambda load: evolve(
+            load, report_interval_seconds=PREVIOUS_REPORT_INTERVAL_SECONDS
+        )
+    ),
+    "streams leave a swap": Switch(
+        change_load=lambda load: evolve(load, drain_seconds=NO_DRAIN_LIMIT_SECONDS)
     ),
-    "streams leave a swap": Switch(load=lambda load: evolve(load, drain_seconds=NEVER)),
-    "waves": Switch(load=_at_once),
+    "waves": Switch(change_load=_swap_simultaneously),
 }
 
-# Briefs, notes and replies of a printing desk: shorter goals, faster engines.
+# Briefs, notes and replies of a printing desk, which has shorter goals and faster
+# engines.
 _PRINTING_KINDS = (
-    Kind(40.0, 2.4, 0.61, 0.406, 1290, 126),
-    Kind(28.8, 2.1, 0.52, 0.406, 787, 126),
-    Kind(31.0, 1.4, 0.35, 0.305, 607, 72),
+    DraftKind(40.0, 2.4, 0.61, 0.406, 1290, 126),
+    DraftKind(28.8, 2.1, 0.52, 0.406, 787, 126),
+    DraftKind(31.0, 1.4, 0.35, 0.305, 607, 72),
+)
+_PRINTING_COSTS = EngineCosts(
+    step_seconds=0.0074, prompt_tokens_per_second=31_900.0, steps_per_pass=6
 )
-_PRINTING_COSTS = EngineCosts(step=0.0074, read_rate=31_900.0, stride=6)
 
 
 def ablation(seeds: int = 6, desk: str = "invoicing") -> None:
-    """Switch one mechanism off at a time; what is left of the worth, load by load.
+    """Switch one mechanism off at a time and print the value earned under each load.
 
     Parameters
     ----------
     seeds : int
-        Plays of each load.
+        Number of seeds with which each load is simulated.
     desk : str
-        Whose drafts: ``invoicing`` or ``printing``.
+        Desk whose drafts are simulated: ``invoicing`` or ``printing``.
     """
     print(f"{'without':<26}{'all':>7}", *(f"{name:>15}" for name in LOADS))
     for name, switch in SWITCHES.items():
-        with _off(switch):
-            rows = [_earned(switch.load(_of(desk, load)), seeds) for load in LOADS]
-        both = mean(WHOLE_PART * row[0] + WORST_PART * row[1] for row in rows)
+        with _switched_off(switch):
+            rows = [
+                _mean_scores(switch.change_load(_load_of_desk(desk, load)), seeds)
+                for load in LOADS
+            ]
+        score = mean(WHOLE_WEIGHT * row[0] + WORST_WEIGHT * row[1] for row in rows)
         cells = (f"{earned:>9.3f} {worst:.3f}" for earned, worst in rows)
-        print(f"{name:<26}{both:>7.3f}", *cells, flush=True)
+        print(f"{name:<26}{score:>7.3f}", *cells, flush=True)
 
 
-def _of(desk: str, load: str) -> BurstModel:
+def _load_of_desk(desk: str, load: str) -> BurstModel:
     if desk == "invoicing":
         return LOADS[load]
     return evolve(
         LOADS[load],
         kinds=_PRINTING_KINDS,
         costs=_PRINTING_COSTS,
-        pause_goal=0.3,
-        patience=2.4,
+        max_event_interval_seconds=0.3,
+        caller_timeout_seconds=2.4,
     )
 
 
 @contextmanager
-def _off(switch: Switch) -> Iterator[None]:
+def _switched_off(switch: Switch) -> Iterator[None]:
     if not switch.name:
         yield
         return
-    before = getattr(switch.owner, switch.name)
+    original = getattr(switch.owner, switch.name)
     setattr(switch.owner, switch.name, switch.value)
     try:
         yield
     finally:
-        setattr(switch.owner, switch.name, before)
+        setattr(switch.owner, switch.name, original)
 
 
-def _earned(load: BurstModel, seeds: int) -> tuple[float, float]:
-    plays = [play(load, Product, seed) for seed in range(seeds)]
-    return mean(p.earned for p in plays), mean(p.worst for p in plays)
+def _mean_scores(load: BurstModel, seeds: int) -> tuple[float, float]:
+    results = [play(load, Product, seed) for seed in range(seeds)]
+    return mean(r.earned for r in results), mean(r.worst for r in results)
--- a/packages/wasabideck_lab/wasabideck_lab/burst_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_command.py
@@ -7,59 +7,69 @@
 import orjson
 from wasabideck_policy.waves import DRAIN_SECONDS, wave_delay
 
-from .burst_model import BurstModel, Kind, Phase, play
+from .burst_model import BurstModel, DraftKind, Phase, play
 from .burst_policies import POLICIES
 
 __all__ = ["LOADS", "bursts"]
 
-# Statements, explanations and summaries as a terminal's invoicing desk asks for them.
-DESK = (
-    Kind(36.0, 2.4, 0.6, 0.505, 1290, 101),
-    Kind(27.2, 2.0, 0.49, 0.404, 787, 101),
-    Kind(25.3, 1.5, 0.37, 0.404, 607, 70),
+# Statements, explanations and summaries that a terminal's invoicing desk requests.
+INVOICING_KINDS = (
+    DraftKind(36.0, 2.4, 0.6, 0.505, 1290, 101),
+    DraftKind(27.2, 2.0, 0.49, 0.404, 787, 101),
+    DraftKind(25.3, 1.5, 0.37, 0.404, 607, 70),
 )
 ENGINES = 12
 
 
-def _waves(engines: int, spare: float) -> tuple[float, ...]:
-    """When engines stop, as their agents decide with so much time left (seconds)."""
+def _swap_delays(engines: int, spare_seconds: float) -> tuple[float, ...]:
+    """Return when each engine stops for a swap, as the agents of a rollout decide.
+
+    Parameters
+    ----------
+    spare_seconds : float
+        Time that is left for the swaps of all engines.
+    """
     vms = [f"vm-{i}" for i in range(engines)]
-    return tuple(wave_delay(vm, 2, vms, 0.3, spare) for vm in vms)
+    return tuple(wave_delay(vm, 2, vms, 0.3, spare_seconds) for vm in vms)
 
 
-_RAMP = (Phase(0.0, 0.55), Phase(6.0, 0.7), Phase(7.5, 0.85), Phase(9.0))
-_ADDED = tuple(Phase(6.5 + 0.25 * i, 1.0, 5 + i) for i in range(8))
+_RAMP_UP = (Phase(0.0, 0.55), Phase(6.0, 0.7), Phase(7.5, 0.85), Phase(9.0))
+_NEW_ENGINES = tuple(Phase(6.5 + 0.25 * i, 1.0, 5 + i) for i in range(8))
 
 LOADS: dict[str, BurstModel] = {
-    # Full traffic comes before the added engines hold weights.
+    # Traffic reaches its full rate before the added engines hold weights.
     "added-late": BurstModel(
-        DESK, (*_RAMP, Phase(10.5, 1.0, 9), Phase(12.0, 1.0, 12)), seconds=18.0
+        INVOICING_KINDS,
+        (*_RAMP_UP, Phase(10.5, 1.0, 9), Phase(12.0, 1.0, 12)),
+        seconds=18.0,
     ),
-    # Engines are replaced one by one; each new one begins empty.
+    # Engines are replaced one by one; each new engine starts empty.
     "replaced": BurstModel(
-        DESK,
-        (Phase(0.0, 0.5), Phase(4.0, 0.8, 5), Phase(5.5, 1.0, 4), *_ADDED),
+        INVOICING_KINDS,
+        (Phase(0.0, 0.5), Phase(4.0, 0.8, 5), Phase(5.5, 1.0, 4), *_NEW_ENGINES),
         seconds=14.0,
     ),
-    # Two thirds of the engines that the traffic needs.
-    "too-few": BurstModel(DESK, (Phase(0.0, 0.6, 8), Phase(2.0, 1.0, 8)), seconds=14.0),
+    # There are two thirds of the engines that the traffic needs.
+    "too-few": BurstModel(
+        INVOICING_KINDS, (Phase(0.0, 0.6, 8), Phase(2.0, 1.0, 8)), seconds=14.0
+    ),
     "enough": BurstModel(
-        DESK, (Phase(0.0, 0.6, 10), Phase(2.0, 1.0, 10)), seconds=16.0
+        INVOICING_KINDS, (Phase(0.0, 0.6, 10), Phase(2.0, 1.0, 10)), seconds=16.0
     ),
-    # All engines load newer weights, with two seconds left for it.
+    # All engines load newer weights within two seconds.
     "swap": BurstModel(
-        DESK,
+        INVOICING_KINDS,
         (
             Phase(0.0, 0.6, ENGINES),
             Phase(2.0, 1.0, ENGINES),
-            Phase(6.0, 1.0, ENGINES, _waves(ENGINES, 2.0)),
+            Phase(6.0, 1.0, ENGINES, _swap_delays(ENGINES, 2.0)),
         ),
         seconds=16.0,
         drain_seconds=DRAIN_SECONDS,
     ),
-    # Everything loses power and is back after 1.8 s.
+    # All engines lose power and are available again after 1.8 s.
     "outage": BurstModel(
-        DESK,
+        INVOICING_KINDS,
         (
             Phase(0.0, 0.6, ENGINES),
             Phase(2.0, 1.0, ENGINES),
@@ -72,28 +82,28 @@
 
 
 def bursts(load: str = "all", seeds: int = 8, json: bool = False) -> None:
-    """Compare policies under modelled loads: part of the worth that they earn.
+    """Compare policies under modelled loads by the fraction of the value they earn.
 
     Parameters
     ----------
     load : str
         Name of one load, or ``all``.
     seeds : int
-        Plays of each pair, two at the least.
+        Number of seeds for each pair of load and policy, at least two.
     json : bool
-        Print one JSON object a pair.
+        Print one JSON object per pair.
     """
     names = list(LOADS) if load == "all" else [load]
     for name in names:
         for policy in POLICIES:
             row = _compare(name, policy, max(seeds, 2))
-            print(orjson.dumps(row).decode() if json else _line(row), flush=True)
+            print(orjson.dumps(row).decode() if json else _format_row(row), flush=True)
 
 
 def _compare(load: str, policy: str, seeds: int) -> dict:
-    plays = [play(LOADS[load], POLICIES[policy], seed) for seed in range(seeds)]
-    earned = [result.earned for result in plays]
-    worst = [result.worst for result in plays]
+    results = [play(LOADS[load], POLICIES[policy], seed) for seed in range(seeds)]
+    earned = [result.earned for result in results]
+    worst = [result.worst for result in results]
     return {
         "load": load,
         "policy": policy,
@@ -102,13 +112,13 @@
         "earned_spread": round(stdev(earned), 3),
         "worst": round(mean(worst), 3),
         "worst_spread": round(stdev(worst), 3),
-        "in_time": round(mean(result.in_time for result in plays), 3),
-        "late": round(mean(result.late for result in plays), 3),
-        "lost": round(mean(result.lost for result in plays), 3),
+        "in_time": round(mean(result.in_time for result in results), 3),
+        "late": round(mean(result.late for result in results), 3),
+        "lost": round(mean(result.lost for result in results), 3),
     }
 
 
-def _line(row: dict) -> str:
+def _format_row(row: dict) -> str:
     return (
         f"{row['load']:<11} {row['policy']:<18} "
         f"earned {row['earned']:.3f} +-{row['earned_spread']:.3f}  "
--- a/packages/wasabideck_lab/wasabideck_lab/burst_model.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_model.py
@@ -1,8 +1,9 @@
-"""Entries that choose among engines with late news, played in a model.
+"""Simulates entries that choose among engines whose reports arrive late.
 
-Everything that decides is the product's own; engines, links and callers are models.
-A load of seconds takes a fraction of one, so that a change of policy is compared with
-the former one over many seeds before the real programs are run.
+The decisions are made by the product's own code; engines, links and callers are
+models. Several seconds of load are simulated in a fraction of a second, so that a
+changed policy can be compared with the previous one over many seeds before the real
+programs are run.
 """
 
 from __future__ import annotations
@@ -21,47 +22,62 @@
 
 from .engine_model import Draft, Engine, EngineCosts
 
-__all__ = ["MODEL", "BurstModel", "Chooser", "Kind", "Phase", "Result", "play"]
+__all__ = ["MODEL", "BurstModel", "DraftKind", "EntryPolicy", "Phase", "Result", "play"]
 
-# What an entry and the links to it and to an engine add to a first event (seconds).
-WAY_SECONDS = 0.008
-# Servers, and entries, stand in so many data centres.
+# Latency that an entry and the links to it and to an engine add to a first event.
+NETWORK_SECONDS = 0.008
+# Number of data centres over which servers, and entries, are distributed.
 DATA_CENTRES = 3
-# An entry looks so often whether streams can leave an engine that stops (seconds).
-MOVE_SECONDS = 0.05
-# Callers whose streams an outage cut come back after so long (seconds).
-RETURN_SECONDS = (0.3, 1.8)
+# Interval at which an entry checks whether the streams of an engine that is about to
+# swap can continue on other engines.
+MIGRATION_CHECK_SECONDS = 0.05
+# Minimum and maximum delay after which callers retry when an outage aborted their
+# streams.
+OUTAGE_RETRY_SECONDS = (0.3, 1.8)
 MODEL = "drafter"
 
 
 @frozen
-class Kind:
-    """A kind of draft: how often it comes, what it is worth, and its mean size."""
+class DraftKind:
+    """A kind of draft: its arrival rate, its value and its mean size.
+
+    Attributes
+    ----------
+    value, late_value : float
+        What a response in time, and a late one, is worth.
+    goal_seconds : float
+        Time within which a first event must arrive.
+    """
 
     per_second: float
-    worth: float
-    late_worth: float
-    goal: float
-    prompt: float
-    tokens: float
-    most_prompt: int = 3880
-    most_tokens: int = 250
+    value: float
+    late_value: float
+    goal_seconds: float
+    mean_prompt_tokens: float
+    mean_output_tokens: float
+    max_prompt_tokens: int = 3880
+    max_output_tokens: int = 250
 
 
 @frozen
 class Phase:
-    """From a moment on: a part of the full load, and the engines that serve.
+    """A phase of a load: its request rate and the number of engines that serve.
 
     Attributes
     ----------
+    starts_at : float
+        When the phase starts, seconds.
+    load_ratio : float
+        Request rate as a fraction of the full rate.
     engines : int
-        With none of them all streams are cut, and their callers come once more.
+        Number of engines that serve. With 0 engines all streams are aborted, and their
+        callers retry.
     swaps : sequence of float
-        When each engine stops for newer weights, seconds after the phase's beginning.
+        When each engine stops for newer weights, seconds after the start of the phase.
     """
 
-    at: float
-    load: float = 1.0
+    starts_at: float
+    load_ratio: float = 1.0
     engines: int = 7
     swaps: Sequence[float] = ()
 
@@ -72,36 +88,49 @@
 
     Attributes
     ----------
-    look_seconds : float
-        How often an agent tells entries near by of its engine; others hear each
-        fourth word, and each big change.
+    max_event_interval_seconds : float
+        Maximum interval between two events of a stream that counts as in time.
+    caller_timeout_seconds : float
+        Time after which a caller cancels a request that had no first event.
+    report_interval_seconds : float
+        Interval between an agent's reports on its engine to entries in its data
+        centre. Other entries receive only every sixth report, as from a real agent,
+        and each major change.
+    weights_load_seconds : float
+        Time that an engine takes to load newer weights.
     drain_seconds : float
-        How long an engine that stops works on what it has, before it goes on elsewhere.
-    retry_after : float
-        After how long callers that were refused come once more.
+        Time for which an engine that is about to swap continues its running requests,
+        before they are continued on other engines.
+    retry_delay_seconds : float
+        Mean delay after which a caller retries a request that was refused.
     """
 
-    kinds: Sequence[Kind]
+    kinds: Sequence[DraftKind]
     phases: Sequence[Phase]
     costs: EngineCosts = EngineCosts()
     entries: int = 10
     seconds: float = 20.0
-    pause_goal: float = 0.4
-    patience: float = 3.2
-    look_seconds: float = LOOK_SECONDS
-    load_seconds: float = 0.3
+    max_event_interval_seconds: float = 0.4
+    caller_timeout_seconds: float = 3.2
+    report_interval_seconds: float = LOOK_SECONDS
+    weights_load_seconds: float = 0.3
     drain_seconds: float = inf
-    retry_after: float = 1.0
+    retry_delay_seconds: float = 1.0
 
 
 @frozen
 class Result:
-    """What a load earned, of what it was worth.
+    """The outcome of one simulated load.
 
     Attributes
     ----------
+    earned : float
+        Value of the responses, as a fraction of the value of all requests.
+    in_time, late, lost : float
+        Fractions of the requests that were answered in time, answered late, and not
+        answered.
     windows : tuple of float
-        Part earned in each two seconds of arrivals.
+        Fraction earned of the requests that arrived in each window of two seconds.
     """
 
     earned: float
@@ -112,107 +141,133 @@
 
     @property
     def worst(self) -> float:
-        """Mean of the two worst windows."""
+        """Mean fraction earned in the two worst windows."""
         return sum(sorted(self.windows)[:2]) / 2
 
 
-class Chooser:
-    """One entry's decisions; a policy under test overrides what it changes.
+class EntryPolicy:
+    """Decisions of one entry. A policy under test overrides the methods it needs.
 
     Parameters
     ----------
     model : BurstModel
-        The fleet that it works in.
+        The simulated fleet.
     data_centre : str
-        Where the entry stands.
+        Data centre of the entry.
     """
 
     def __init__(self, model: BurstModel, data_centre: str):
         self.model = model
         self.data_centre = data_centre
 
-    def arrive(self, draft: Draft, now: float) -> None:
-        """Take in that a request has arrived."""
+    def record_arrival(self, draft: Draft, now: float) -> None:
+        """Record that a request has arrived."""
 
     def choose(
         self, draft: Draft, backends: list[Backend], now: float, rng: random.Random
     ) -> Place:
-        """Where it goes, and how urgent it is there; it may wait here first."""
+        """Return the server for a request and its urgency there, or a time to wait."""
         raise NotImplementedError
 
-    def first_event(self, draft: Draft, now: float) -> None:
-        """Take in that a stream's first event has come."""
+    def record_first_event(self, draft: Draft, now: float) -> None:
+        """Record that the first event of a stream has arrived."""
 
-    def end(self, draft: Draft, now: float) -> None:
-        """Take in that a request was answered whole."""
+    def record_end(self, draft: Draft, now: float) -> None:
+        """Record that a request got its complete response."""
 
-    def gave_up(self, draft: Draft, now: float) -> None:
-        """Take in that a caller has left."""
+    def record_cancellation(self, draft: Draft, now: float) -> None:
+        """Record that a caller has disconnected."""
 
 
 @define
-class _Fleet:
+class _Simulation:
+    """State of one run of a model.
+
+    Attributes
+    ----------
+    backends : list of list of Backend
+        What each entry knows of each engine.
+    drafts : list of Draft
+        All requests that have arrived, once each.
+    assignments : dict
+        Entry and engine of each request that an engine has.
+    timers : list
+        A heap of pending actions: time, sequence number and function.
+    engines_in_pass : set of int
+        Engines that are in the middle of a pass.
+    serving : int
+        Number of engines that serve: those with the lowest indices.
+    last_broadcasts : dict
+        The newest report on each engine that was sent to all entries.
+    """
+
     model: BurstModel
     rng: random.Random
-    choosers: list[Chooser]
+    policies: list[EntryPolicy]
     engines: list[Engine]
     backends: list[list[Backend]]
     drafts: list[Draft] = field(factory=list)
-    known: set[Draft] = field(factory=set)
-    at: dict[Draft, tuple[int, int]] = field(factory=dict)
-    events: list[tuple[float, int, Callable]] = field(factory=list)
-    order: count = field(factory=count)
-    passing: set[int] = field(factory=set)
+    seen: set[Draft] = field(factory=set)
+    assignments: dict[Draft, tuple[int, int]] = field(factory=dict)
+    timers: list[tuple[float, int, Callable]] = field(factory=list)
+    timer_numbers: count = field(factory=count)
+    engines_in_pass: set[int] = field(factory=set)
     serving: int = 0
-    told: dict[int, EngineNews] = field(factory=dict)
+    last_broadcasts: dict[int, EngineNews] = field(factory=dict)
 
-    def later(self, at: float, action: Callable[[float], None]) -> None:
-        heapq.heappush(self.events, (at, next(self.order), action))
+    def schedule(self, at: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self.timers, (at, next(self.timer_numbers), action))
 
     # Callers
 
-    def arrive(self, draft: Draft, entry: int, now: float) -> None:
-        if draft not in self.known:
-            self.known.add(draft)
+    def receive(self, draft: Draft, entry: int, now: float) -> None:
+        if draft not in self.seen:
+            self.seen.add(draft)
             self.drafts.append(draft)
-        draft.tries += 1
-        self.choosers[entry].arrive(draft, now)
-        self.place(draft, entry, now)
-
-    def place(self, draft: Draft, entry: int, now: float) -> None:
-        chooser = self.choosers[entry]
-        known = self.backends[entry][: self.serving]
-        place = chooser.choose(draft, known, now, self.rng)
-        if place.backend is None and place.back_in is not None:
-            # It waits at the entry.
-            self.later(now + place.back_in, lambda t: self.place(draft, entry, t))
+        draft.attempts += 1
+        self.policies[entry].record_arrival(draft, now)
+        self.dispatch(draft, entry, now)
+
+    def dispatch(self, draft: Draft, entry: int, now: float) -> None:
+        policy = self.policies[entry]
+        backends = self.backends[entry][: self.serving]
+        placement = policy.choose(draft, backends, now, self.rng)
+        if placement.backend is None and placement.back_in is not None:
+            # The request waits at the entry.
+            self.schedule(
+                now + placement.back_in, lambda t: self.dispatch(draft, entry, t)
+            )
             return
-        if place.backend is None:
-            if draft.tries == 1:
-                pause = self.model.retry_after * self.rng.uniform(0.7, 1.3)
+        if placement.backend is None:
+            if draft.attempts == 1:
+                delay = self.model.retry_delay_seconds * self.rng.uniform(0.7, 1.3)
                 other = self.rng.randrange(self.model.entries)
-                self.later(now + pause, lambda t: self.arrive(draft, other, t))
+                self.schedule(now + delay, lambda t: self.receive(draft, other, t))
             return
-        engine = int(place.backend.server)
-        draft.urgency = place.urgency
-        place.backend.begin(now)
-        place.backend.unread.add(draft)
-        self.at[draft] = (entry, engine)
-        self.later(now + WAY_SECONDS / 2, lambda t: self.enter(draft, engine, t))
-        self.later(now + self.model.patience, lambda t: self.leave(draft, t))
-
-    def leave(self, draft: Draft, now: float) -> None:
-        """A caller that has seen nothing for its whole patience gives up."""
-        if draft.ended or draft.first_at is not None or draft not in self.at:
+        engine = int(placement.backend.server)
+        draft.urgency = placement.urgency
+        placement.backend.begin(now)
+        placement.backend.unread.add(draft)
+        self.assignments[draft] = (entry, engine)
+        self.schedule(
+            now + NETWORK_SECONDS / 2, lambda t: self.enqueue(draft, engine, t)
+        )
+        self.schedule(
+            now + self.model.caller_timeout_seconds, lambda t: self.time_out(draft, t)
+        )
+
+    def time_out(self, draft: Draft, now: float) -> None:
+        """Cancel a request whose caller has received no event within its timeout."""
+        if draft.ended or draft.first_at is not None or draft not in self.assignments:
             return
-        draft.left_at = now
-        entry = self.take_off(draft)
-        self.choosers[entry].gave_up(draft, now)
-
-    def take_off(self, draft: Draft) -> int:
-        """Take a request off its engine; the entry that had sent it."""
-        entry, engine = self.at.pop(draft)
-        self.engines[engine].drop(draft)
+        draft.cancelled_at = now
+        entry = self.unassign(draft)
+        self.policies[entry].record_cancellation(draft, now)
+
+    def unassign(self, draft: Draft) -> int:
+        """Remove a request from its engine, and return the entry that had sent it."""
+        entry, engine = self.assignments.pop(draft)
+        self.engines[engine].remove(draft)
         backend = self.backends[entry][engine]
         backend.in_progress -= 1
         backend.unread.discard(draft)
@@ -220,204 +275,224 @@
 
     # Engines
 
-    def enter(self, draft: Draft, engine: int, now: float) -> None:
-        if self.at.get(draft) is None or self.at[draft][1] != engine:
+    def enqueue(self, draft: Draft, engine: int, now: float) -> None:
+        if self.assignments.get(draft) is None or self.assignments[draft][1] != engine:
             return
-        self.engines[engine].enter(draft, now)
-        self.step(engine, now)
+        self.engines[engine].enqueue(draft, now)
+        self.begin_pass(engine, now)
 
-    def step(self, index: int, now: float) -> None:
+    def begin_pass(self, index: int, now: float) -> None:
         engine = self.engines[index]
-        if index in self.passing:
+        if index in self.engines_in_pass:
             return
         if engine.swapping and not engine.batch:
             engine.swapping = False
-            engine.loading_until = now + self.model.load_seconds
-            self.later(engine.loading_until, lambda t: self.step(index, t))
+            engine.loading_until = now + self.model.weights_load_seconds
+            self.schedule(engine.loading_until, lambda t: self.begin_pass(index, t))
         seconds = engine.begin_pass(now)
         if seconds > 0:
-            self.passing.add(index)
-            self.later(now + seconds, lambda t: self.passed(index, t))
+            self.engines_in_pass.add(index)
+            self.schedule(now + seconds, lambda t: self.end_pass(index, t))
 
-    def passed(self, index: int, now: float) -> None:
-        self.passing.discard(index)
+    def end_pass(self, index: int, now: float) -> None:
+        self.engines_in_pass.discard(index)
         engine = self.engines[index]
-        begun = [d for d in engine.batch if d.first_at is None]
+        without_event = [d for d in engine.batch if d.first_at is None]
         ended = engine.end_pass(now)
-        for draft in begun:
+        for draft in without_event:
             if draft.first_at is not None:
-                entry, _ = self.at[draft]
+                entry, _ = self.assignments[draft]
                 backend = self.backends[entry][index]
                 backend.unread.discard(draft)
-                backend.hear_load(engine.pressed + len(ended), now)
-                self.choosers[entry].first_event(draft, now)
+                backend.hear_load(engine.load + len(ended), now)
+                self.policies[entry].record_first_event(draft, now)
         for draft in ended:
-            entry, _ = self.at.pop(draft)
+            entry, _ = self.assignments.pop(draft)
             self.backends[entry][index].in_progress -= 1
-            self.choosers[entry].end(draft, now)
-        self.step(index, now)
+            self.policies[entry].record_end(draft, now)
+        self.begin_pass(index, now)
 
-    def tell(self, index: int, looks: int, now: float) -> None:
-        """An agent's word on its engine: near by always, the others now and then."""
-        at = now + self.model.look_seconds
-        self.later(at, lambda t: self.tell(index, looks + 1, t))
+    def send_report(self, index: int, number: int, now: float) -> None:
+        """Send an agent's report on its engine to the entries.
+
+        Entries in its data centre receive each report. The others receive each major
+        change, and otherwise only some of the reports.
+        """
+        at = now + self.model.report_interval_seconds
+        self.schedule(at, lambda t: self.send_report(index, number + 1, t))
         engine = self.engines[index]
         serving = not engine.swapping and now >= engine.loading_until
-        news = EngineNews(
+        report = EngineNews(
             str(index), 1, serving, len(engine.batch), len(engine.queue), named=1
         )
-        last = self.told.get(index)
-        big = last is None or last.serving != serving
-        big = big or abs(last.pressed - news.pressed) >= BIG_CHANGE
-        everyone = big or looks % FAR_EVERY == 0
-        if everyone:
-            self.told[index] = news
+        last = self.last_broadcasts.get(index)
+        is_major = last is None or last.serving != serving
+        is_major = is_major or abs(last.pressed - report.pressed) >= BIG_CHANGE
+        to_all = is_major or number % FAR_EVERY == 0
+        if to_all:
+            self.last_broadcasts[index] = report
         for entry in range(self.model.entries):
-            if everyone or entry % DATA_CENTRES == index % DATA_CENTRES:
-                self.backends[entry][index].hear(news, now)
+            if to_all or entry % DATA_CENTRES == index % DATA_CENTRES:
+                self.backends[entry][index].hear(report, now)
 
     # Phases
 
-    def enter_phase(self, phase: Phase, now: float) -> None:
+    def begin_phase(self, phase: Phase, now: float) -> None:
         self.serving = phase.engines
         if not phase.engines:
-            self.cut_all(now)
-        for index, after in enumerate(phase.swaps):
-            self.later(now + after, lambda t, i=index: self.swap(i, t))
-
-    def cut_all(self, now: float) -> None:
-        """End all streams midway; each caller comes again at some other entry."""
-        for draft in list(self.at):
-            self.take_off(draft)
+            self.abort_all(now)
+        for index, delay in enumerate(phase.swaps):
+            self.schedule(now + delay, lambda t, i=index: self.begin_swap(i, t))
+
+    def abort_all(self, now: float) -> None:
+        """Abort all streams; each caller retries at an entry chosen at random."""
+        for draft in list(self.assignments):
+            self.unassign(draft)
             draft.first_at = None
-            draft.written = 0
-            draft.tries = 1
+            draft.written_tokens = 0
+            draft.attempts = 1
             entry = self.rng.randrange(self.model.entries)
-            back = now + self.rng.uniform(*RETURN_SECONDS)
-            self.later(back, lambda t, d=draft, e=entry: self.arrive(d, e, t))
+            retry_at = now + self.rng.uniform(*OUTAGE_RETRY_SECONDS)
+            self.schedule(retry_at, lambda t, d=draft, e=entry: self.receive(d, e, t))
 
-    def swap(self, index: int, now: float) -> None:
+    def begin_swap(self, index: int, now: float) -> None:
         self.engines[index].swapping = True
         for entry in range(self.model.entries):
-            last = self.backends[entry][index]
+            backend = self.backends[entry][index]
             engine = self.engines[index]
-            news = EngineNews(
+            report = EngineNews(
                 str(index), 1, False, len(engine.batch), len(engine.queue), named=1
             )
-            last.hear(news, now)
-        self.step(index, now)
+            backend.hear(report, now)
+        self.begin_pass(index, now)
         if self.model.drain_seconds < inf:
             at = now + self.model.drain_seconds
-            self.later(at, lambda t: self.move_away(index, t))
+            self.schedule(at, lambda t: self.migrate_streams(index, t))
 
-    def move_away(self, index: int, now: float) -> None:
-        """Continue on other engines what an engine that stops has not ended."""
+    def migrate_streams(self, index: int, now: float) -> None:
+        """Continue requests of an engine that is about to swap on other engines."""
         if not self.engines[index].swapping:
             return
         for draft in list(self.engines[index].batch):
-            entry, _ = self.at[draft]
-            known = self.backends[entry][: self.serving]
-            place = self.choosers[entry].choose(draft, known, now, self.rng)
-            if place.backend is None:
+            entry, _ = self.assignments[draft]
+            backends = self.backends[entry][: self.serving]
+            placement = self.policies[entry].choose(draft, backends, now, self.rng)
+            if placement.backend is None:
                 continue
-            self.take_off(draft)
-            draft.prompt += draft.written
-            self.place(draft, entry, now)
-        self.step(index, now)
-        self.later(now + MOVE_SECONDS, lambda t: self.move_away(index, t))
+            self.unassign(draft)
+            draft.prompt_tokens += draft.written_tokens
+            self.dispatch(draft, entry, now)
+        self.begin_pass(index, now)
+        self.schedule(
+            now + MIGRATION_CHECK_SECONDS, lambda t: self.migrate_streams(index, t)
+        )
 
 
 def play(
-    model: BurstModel, chooser: Callable[[BurstModel, str], Chooser], seed: int
+    model: BurstModel, make_policy: Callable[[BurstModel, str], EntryPolicy], seed: int
 ) -> Result:
-    """Play a load once."""
+    """Simulate a load once and return its result."""
     rng = random.Random(seed)
-    most = max(phase.engines for phase in model.phases)
+    max_engines = max(phase.engines for phase in model.phases)
     loaded = (Loaded(MODEL, 1, 0, 1),)
 
-    def known() -> list[Backend]:
+    def new_backends() -> list[Backend]:
         slots = model.costs.slots
         return [
-            Backend(Listed(str(i), "", str(i), _place(i), slots, loaded=loaded))
-            for i in range(most)
+            Backend(Listed(str(i), "", str(i), _data_centre(i), slots, loaded=loaded))
+            for i in range(max_engines)
         ]
 
-    fleet = _Fleet(
+    simulation = _Simulation(
         model,
         rng,
-        [chooser(model, _place(i)) for i in range(model.entries)],
-        [Engine(model.costs) for _ in range(most)],
-        [known() for _ in range(model.entries)],
+        [make_policy(model, _data_centre(i)) for i in range(model.entries)],
+        [Engine(model.costs) for _ in range(max_engines)],
+        [new_backends() for _ in range(model.entries)],
     )
-    for index in range(most):
-        at = rng.uniform(0, model.look_seconds)
-        fleet.later(at, lambda t, i=index: fleet.tell(i, i, t))
+    for index in range(max_engines):
+        at = rng.uniform(0, model.report_interval_seconds)
+        simulation.schedule(at, lambda t, i=index: simulation.send_report(i, i, t))
     for phase in model.phases:
-        fleet.later(phase.at, lambda t, p=phase: fleet.enter_phase(p, t))
-    _draw_arrivals(fleet, random.Random(seed + 1))
-    while fleet.events:
-        at, _, action = heapq.heappop(fleet.events)
+        simulation.schedule(
+            phase.starts_at, lambda t, p=phase: simulation.begin_phase(p, t)
+        )
+    _draw_arrivals(simulation, random.Random(seed + 1))
+    while simulation.timers:
+        at, _, action = heapq.heappop(simulation.timers)
         if at > model.seconds + 8.0:
             break
         action(at)
-    return _earned(model, fleet.drafts)
+    return _score(model, simulation.drafts)
 
 
-def _place(index: int) -> str:
+def _data_centre(index: int) -> str:
     return f"dc-{index % DATA_CENTRES}"
 
 
-def _draw_arrivals(fleet: _Fleet, rng: random.Random) -> None:
-    model = fleet.model
+def _draw_arrivals(simulation: _Simulation, rng: random.Random) -> None:
+    model = simulation.model
     weights = [rng.uniform(0.5, 1.5) for _ in range(model.entries)]
-    starts = [phase.at for phase in model.phases] + [model.seconds]
+    starts = [phase.starts_at for phase in model.phases] + [model.seconds]
     for phase, until in zip(model.phases, starts[1:], strict=True):
         for kind in model.kinds:
-            rate = kind.per_second * phase.load
-            at = phase.at
+            rate = kind.per_second * phase.load_ratio
+            at = phase.starts_at
             while rate > 0 and (at := at + rng.expovariate(rate)) < until:
                 entry = rng.choices(range(model.entries), weights)[0]
                 draft = _draw_draft(kind, at, rng)
-                fleet.later(at, lambda t, d=draft, e=entry: fleet.arrive(d, e, t))
+                simulation.schedule(
+                    at, lambda t, d=draft, e=entry: simulation.receive(d, e, t)
+                )
 
 
-def _draw_draft(kind: Kind, at: float, rng: random.Random) -> Draft:
-    prompt = 40 + int(min(kind.most_prompt, _lognormal(kind.prompt, 1.0, rng)))
-    tokens = 1 + int(min(kind.most_tokens, _lognormal(kind.tokens, 0.9, rng)))
-    size = (prompt + 10 * tokens) / (40 + kind.prompt + 10 * kind.tokens)
-    worth = min(4.0, 0.3 + 0.7 * size)
-    draft = Draft(at, kind.goal, kind.worth * worth, prompt, tokens)
+def _draw_draft(kind: DraftKind, at: float, rng: random.Random) -> Draft:
+    prompt = 40 + int(
+        min(kind.max_prompt_tokens, _lognormal(kind.mean_prompt_tokens, 1.0, rng))
+    )
+    output = 1 + int(
+        min(kind.max_output_tokens, _lognormal(kind.mean_output_tokens, 0.9, rng))
+    )
+    size = (prompt + 10 * output) / (
+        40 + kind.mean_prompt_tokens + 10 * kind.mean_output_tokens
+    )
+    value_ratio = min(4.0, 0.3 + 0.7 * size)
+    draft = Draft(at, kind.goal_seconds, kind.value * value_ratio, prompt, output)
     return draft
 
 
-def _lognormal(mean: float, spread: float, rng: random.Random) -> float:
-    sigma = sqrt(log(1 + spread * spread))
+def _lognormal(mean: float, variation: float, rng: random.Random) -> float:
+    """Return a log-normal sample with a mean and a coefficient of variation."""
+    sigma = sqrt(log(1 + variation * variation))
     return mean * exp(rng.gauss(-sigma * sigma / 2, sigma))
 
 
-def _earned(model: BurstModel, drafts: list[Draft]) -> Result:
+def _score(model: BurstModel, drafts: list[Draft]) -> Result:
     windows: dict[int, list[float]] = {}
-    owed = earned = in_time = late = 0.0
-    part = model.kinds[0].late_worth / model.kinds[0].worth
+    total_value = earned = in_time = late = 0.0
+    late_ratio = model.kinds[0].late_value / model.kinds[0].value
     for draft in drafts:
         credit = 0.0
-        first = inf if draft.first_at is None else draft.first_at - draft.arrived
+        first = inf if draft.first_at is None else draft.first_at - draft.arrived_at
         if draft.ended:
-            good = first + WAY_SECONDS <= draft.goal
-            good = good and draft.longest_pause <= model.pause_goal
-            credit = draft.worth * (1.0 if good else part)
-            in_time += good
-            late += not good
-        owed += draft.worth
+            is_in_time = first + NETWORK_SECONDS <= draft.goal_seconds
+            is_in_time = (
+                is_in_time
+                and draft.longest_interval_seconds <= model.max_event_interval_seconds
+            )
+            credit = draft.value * (1.0 if is_in_time else late_ratio)
+            in_time += is_in_time
+            late += not is_in_time
+        total_value += draft.value
         earned += credit
-        window = windows.setdefault(int(draft.arrived / 2), [0.0, 0.0])
+        window = windows.setdefault(int(draft.arrived_at / 2), [0.0, 0.0])
         window[0] += credit
-        window[1] += draft.worth
-    asked = max(len(drafts), 1)
+        window[1] += draft.value
+    request_count = max(len(drafts), 1)
     return Result(
-        earned / owed,
-        in_time / asked,
-        late / asked,
-        1 - (in_time + late) / asked,
-        tuple(round(e / o, 3) for _, (e, o) in sorted(windows.items())),
+        earned / total_value,
+        in_time / request_count,
+        late / request_count,
+        1 - (in_time + late) / request_count,
+        tuple(round(e / total, 3) for _, (e, total) in sorted(windows.items())),
     )
--- a/packages/wasabideck_lab/wasabideck_lab/capacity.py
+++ b/packages/wasabideck_lab/wasabideck_lab/capacity.py
@@ -1,8 +1,8 @@
-"""Measures the slopes that docs/CAPACITY.md works out the target size from.
+"""Measures the slopes from which docs/CAPACITY.md calculates the target size.
 
-Real binaries are measured from outside. Of the fleet around the one process that
-is measured only the interfaces are there: many listening ports, answered by one
-small service, that stand for agents or entries.
+Real binaries are measured from outside, one process at a time. The fleet around that
+process is simulated: one small service answers on many listening ports, each of which
+stands for an agent or an entry.
 """
 
 from __future__ import annotations
@@ -35,28 +35,28 @@
 
 __all__ = ["MEASUREMENTS", "measure_all"]
 
-WATCH_SECONDS = 5.0
+MEASURED_SECONDS = 5.0
 SETTLE_SECONDS = 3.0
 
-ENTRIES = 410
-SERVERS = 1400
-VMS = 2100
-REQUESTS_PER_ENTRY = 3400 / ENTRIES
-REQUESTS_PER_SERVER = 3400 / SERVERS
-TOKENS_PER_SERVER = 870_000 / SERVERS
+TARGET_ENTRIES = 410
+TARGET_SERVERS = 1400
+TARGET_VMS = 2100
+REQUESTS_PER_ENTRY = 3400 / TARGET_ENTRIES
+REQUESTS_PER_SERVER = 3400 / TARGET_SERVERS
+TOKENS_PER_SERVER = 870_000 / TARGET_SERVERS
 
 Measurement = Callable[[], Awaitable[list[dict]]]
 
 
 @define
-class _Ports:
-    """Many addresses at which one process answers as agents or entries."""
+class _SimulatedPeers:
+    """Many addresses at which this process answers as agents or entries."""
 
     spread: Spread
     servers: list[Server] = field(factory=list)
 
     async def open(self, names: Iterable[str]) -> dict[str, str]:
-        """Listen on a free port for each VM; its address by its name."""
+        """Listen on a free port for each VM, and return the addresses by VM."""
         return {name: await self._listen(name) for name in names}
 
     async def _listen(self, name: str) -> str:
@@ -68,125 +68,139 @@
         return f"{host}:{port}"
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close all listening ports."""
         for server in self.servers:
             server.close()
 
 
-def _ports() -> _Ports:
+def _simulated_peers() -> _SimulatedPeers:
     events = Events("ports", Clock(), time.time)
     spread = Spread("ports", events, heard=Heard(done=True))
-    return _Ports(spread)
+    return _SimulatedPeers(spread)
 
 
 async def entry_by_servers() -> list[dict]:
-    """What an idle entry spends on control, by servers on the platform's list."""
+    """Return the slopes of an idle entry's usage, by servers on the platform's list."""
     sizes, usages = (50, 100, 200, 400), []
     for size in sizes:
-        usages.append(await _watch_entry(size, round(size * ENTRIES / SERVERS)))
-    return _usage_slopes("idle entry by listed servers", sizes, usages, SERVERS)
+        usages.append(
+            await _measure_entry(size, round(size * TARGET_ENTRIES / TARGET_SERVERS))
+        )
+    return _usage_slopes("idle entry by listed servers", sizes, usages, TARGET_SERVERS)
 
 
 async def entry_by_entries() -> list[dict]:
-    """What an idle entry spends on control, by entries on the platform's list."""
+    """Return the slopes of an idle entry's usage, by entries on the platform's list."""
     sizes, usages = (25, 50, 100, 200), []
     for size in sizes:
-        usages.append(await _watch_entry(0, size))
-    return _usage_slopes("idle entry by listed entries", sizes, usages, ENTRIES)
+        usages.append(await _measure_entry(0, size))
+    return _usage_slopes("idle entry by listed entries", sizes, usages, TARGET_ENTRIES)
 
 
 async def agent_by_servers() -> list[dict]:
-    """What an idle agent spends on control, by servers on the platform's list."""
+    """Return the slopes of an idle agent's usage, by servers on the platform's list."""
     sizes, usages = (50, 100, 200, 400), []
     for size in sizes:
-        usages.append(await _watch_agent(size))
-    return _usage_slopes("idle agent by listed servers", sizes, usages, SERVERS)
+        usages.append(await _measure_agent(size))
+    return _usage_slopes("idle agent by listed servers", sizes, usages, TARGET_SERVERS)
 
 
-async def _watch_entry(servers: int, entries: int) -> Usage:
-    return await _watch(
+async def _measure_entry(servers: int, entries: int) -> Usage:
+    return await _measure_idle(
         servers, entries, lambda lab: lab.start_entry("entry-1", SERVICES)
     )
 
 
-async def _watch_agent(servers: int) -> Usage:
-    return await _watch(
+async def _measure_agent(servers: int) -> Usage:
+    return await _measure_idle(
         servers, 0, lambda lab: lab.start_engine_vm("draft-1", "drafting")
     )
 
 
-async def _watch(
+async def _measure_idle(
     servers: int, entries: int, start: Callable[[Lab], Awaitable[Process]]
 ) -> Usage:
-    """Usage of one idle process beside a list of so many VMs of each kind."""
-    ports = _ports()
+    """Return the usage of one idle process.
+
+    Parameters
+    ----------
+    servers, entries : int
+        Numbers of servers and of entries on the platform's list.
+    start : callable
+        Starts the process.
+    """
+    simulated = _simulated_peers()
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(Path(folder))
         await lab.start_platform()
         try:
-            agents = await ports.open(f"agent-{i}" for i in range(servers))
+            agents = await simulated.open(f"agent-{i}" for i in range(servers))
             for vm, address in agents.items():
                 lab.members.put(Member(vm, AGENT, address, service="drafting"))
-            others = await ports.open(f"other-{i}" for i in range(entries))
-            for vm, address in others.items():
+            peers = await simulated.open(f"other-{i}" for i in range(entries))
+            for vm, address in peers.items():
                 lab.members.put(Member(vm, ENTRY, address))
             process = await start(lab)
             await asyncio.sleep(SETTLE_SECONDS)
-            return await usage_over(process.process.pid, WATCH_SECONDS)
+            return await usage_over(process.process.pid, MEASURED_SECONDS)
         finally:
             await lab.close()
-            ports.close()
+            simulated.close()
 
 
 def _usage_slopes(
     name: str, sizes: tuple[int, ...], usages: list[Usage], target: float
 ) -> list[dict]:
-    lines = [
+    slopes = [
         fit(f"{name}: CPU", "cores", sizes, [u.cpu for u in usages]),
         fit(f"{name}: resident", "bytes", sizes, [u.resident for u in usages]),
         fit(f"{name}: received", "bytes/s", sizes, [u.received for u in usages]),
         fit(f"{name}: sent", "bytes/s", sizes, [u.sent for u in usages]),
     ]
-    return [line.shown(target) for line in lines]
+    return [slope.shown(target) for slope in slopes]
 
 
 async def processes_by_requests() -> list[dict]:
-    """CPU of an entry and of an agent, by requests a second."""
+    """Return the slopes of an entry's and an agent's CPU, by requests per second."""
     rates = (20, 40, 80, 160)
-    entry, agent = [], []
+    entry_cpu, agent_cpu = [], []
     with tempfile.TemporaryDirectory() as folder:
         lab, stage = await _small_fleet(Path(folder))
         try:
             for rate in rates:
                 traffic = Traffic(stage, random.Random(rate), rate)
-                running = asyncio.create_task(traffic.run(int(rate * WATCH_SECONDS)))
+                running = asyncio.create_task(traffic.run(int(rate * MEASURED_SECONDS)))
                 usages = await asyncio.gather(
                     *(
-                        usage_over(lab.processes[vm].process.pid, WATCH_SECONDS)
+                        usage_over(lab.processes[vm].process.pid, MEASURED_SECONDS)
                         for vm in ("entry-1", "draft-1", "draft-2")
                     )
                 )
                 await running
-                entry.append(usages[0].cpu)
-                agent.append((usages[1].cpu + usages[2].cpu) / 2)
+                entry_cpu.append(usages[0].cpu)
+                agent_cpu.append((usages[1].cpu + usages[2].cpu) / 2)
         finally:
             await lab.close()
-    # A third of the traffic drafts, over two servers: a sixth of it each.
+    # A third of the requests are drafts. Two servers share them, so that each server
+    # gets a sixth of the requests.
     per_agent = [rate / 6 for rate in rates]
-    lines: list[tuple[Slope, float]] = [
-        (fit("entry: CPU by requests/s", "cores", rates, entry), REQUESTS_PER_ENTRY),
+    slopes: list[tuple[Slope, float]] = [
         (
-            fit("agent: CPU by drafts/s of 8 tokens", "cores", per_agent, agent),
+            fit("entry: CPU by requests/s", "cores", rates, entry_cpu),
+            REQUESTS_PER_ENTRY,
+        ),
+        (
+            fit("agent: CPU by drafts/s of 8 tokens", "cores", per_agent, agent_cpu),
             REQUESTS_PER_SERVER,
         ),
     ]
-    return [line.shown(target) for line, target in lines]
+    return [slope.shown(target) for slope, target in slopes]
 
 
 async def processes_by_tokens() -> list[dict]:
-    """CPU of an entry and of an agent, by tokens a second."""
+    """Return the slopes of an entry's and an agent's CPU, by tokens per second."""
     tokens, rate = (8, 32, 64, 128), 15.0
-    entry, agent, streamed = [], [], []
+    entry_cpu, agent_cpu, token_rates = [], [], []
     with tempfile.TemporaryDirectory() as folder:
         lab, stage = await _small_fleet(Path(folder))
         try:
@@ -194,24 +208,24 @@
                 for engine in lab.engines.values():
                     engine.tokens = count
                 traffic = Traffic(stage, random.Random(count), rate)
-                running = asyncio.create_task(traffic.run(int(rate * WATCH_SECONDS)))
+                running = asyncio.create_task(traffic.run(int(rate * MEASURED_SECONDS)))
                 usages = await asyncio.gather(
                     *(
-                        usage_over(lab.processes[vm].process.pid, WATCH_SECONDS)
+                        usage_over(lab.processes[vm].process.pid, MEASURED_SECONDS)
                         for vm in ("entry-1", "draft-1", "draft-2")
                     )
                 )
                 await running
-                entry.append(usages[0].cpu)
-                agent.append(usages[1].cpu + usages[2].cpu)
-                streamed.append(count * rate / 3)
+                entry_cpu.append(usages[0].cpu)
+                agent_cpu.append(usages[1].cpu + usages[2].cpu)
+                token_rates.append(count * rate / 3)
         finally:
             await lab.close()
-    entry_line = fit("entry: CPU by tokens/s", "cores", streamed, entry)
-    agent_line = fit("agents: CPU by tokens/s", "cores", streamed, agent)
+    entry_slope = fit("entry: CPU by tokens/s", "cores", token_rates, entry_cpu)
+    agent_slope = fit("agents: CPU by tokens/s", "cores", token_rates, agent_cpu)
     return [
-        entry_line.shown(870_000 / ENTRIES),
-        agent_line.shown(TOKENS_PER_SERVER),
+        entry_slope.shown(870_000 / TARGET_ENTRIES),
+        agent_slope.shown(TOKENS_PER_SERVER),
     ]
 
 
@@ -233,23 +247,23 @@
 
 
 async def store_by_entries() -> list[dict]:
-    """Reads a second of the table and the list, by entries that really run."""
+    """Return the slopes of the store's reads per second, by running entries."""
     return await _store_rates(
-        "entries", ENTRIES, lambda lab, vm: lab.start_entry(vm, SERVICES)
+        "entries", TARGET_ENTRIES, lambda lab, vm: lab.start_entry(vm, SERVICES)
     )
 
 
 async def store_by_agents() -> list[dict]:
-    """Reads a second of the table and the list, by agents that really run."""
+    """Return the slopes of the store's reads per second, by running agents."""
     return await _store_rates(
-        "agents", SERVERS, lambda lab, vm: lab.start_plain_vm(vm, "orders")
+        "agents", TARGET_SERVERS, lambda lab, vm: lab.start_plain_vm(vm, "orders")
     )
 
 
 async def _store_rates(
     name: str, target: float, start: Callable[[Lab, str], Awaitable[Process]]
 ) -> list[dict]:
-    sizes, table, members = (2, 4, 8, 16), [], []
+    sizes, table_rates, list_rates = (2, 4, 8, 16), [], []
     for size in sizes:
         with tempfile.TemporaryDirectory() as folder:
             lab = Lab(Path(folder))
@@ -259,36 +273,38 @@
                 await asyncio.gather(*(start(lab, f"vm-{i}") for i in range(size)))
                 await asyncio.sleep(SETTLE_SECONDS)
                 before = lab.table.reads, lab.members.reads
-                await asyncio.sleep(WATCH_SECONDS)
-                table.append((lab.table.reads - before[0]) / WATCH_SECONDS)
-                members.append((lab.members.reads - before[1]) / WATCH_SECONDS)
+                await asyncio.sleep(MEASURED_SECONDS)
+                table_rates.append((lab.table.reads - before[0]) / MEASURED_SECONDS)
+                list_rates.append((lab.members.reads - before[1]) / MEASURED_SECONDS)
             finally:
                 await lab.close()
     return [
-        fit(f"table reads by {name}", "1/s", sizes, table).shown(target),
-        fit(f"list reads by {name}", "1/s", sizes, members).shown(target),
+        fit(f"table reads by {name}", "1/s", sizes, table_rates).shown(target),
+        fit(f"list reads by {name}", "1/s", sizes, list_rates).shown(target),
     ]
 
 
 async def ticket_state() -> list[dict]:
-    """Cost of the ticket state, by touched things (every VM, a few slots each)."""
+    """Return the slopes of the ticket state's costs, by slots assigned on all VMs."""
     sizes = (1000, 2000, 4000, 8000)
-    merge, hashed, message = [], [], []
+    merge_micros, hash_micros, message_bytes = [], [], []
     for size in sizes:
         items = [_assignment(index) for index in range(size)]
         state = TicketState()
-        begun = time.perf_counter()
+        started = time.perf_counter()
         state.merge(items)
         merged = time.perf_counter()
         state.state_hash()
-        merge.append((merged - begun) * 1e6)
-        hashed.append((time.perf_counter() - merged) * 1e6)
-        message.append(float(_message_bytes(items)))
-    target = VMS * 3
+        merge_micros.append((merged - started) * 1e6)
+        hash_micros.append((time.perf_counter() - merged) * 1e6)
+        message_bytes.append(float(_message_bytes(items)))
+    target = TARGET_VMS * 3
     return [
-        fit("ticket state: merge of all", "us", sizes, merge).shown(target),
-        fit("ticket state: hash", "us", sizes, hashed).shown(target),
-        fit("ticket state: whole on the wire", "bytes", sizes, message).shown(target),
+        fit("ticket state: merge of all", "us", sizes, merge_micros).shown(target),
+        fit("ticket state: hash", "us", sizes, hash_micros).shown(target),
+        fit("ticket state: whole on the wire", "bytes", sizes, message_bytes).shown(
+            target
+        ),
     ]
 
 
@@ -316,7 +332,7 @@
 
 
 async def measure_all(names: list[str]) -> list[dict]:
-    """Slopes of the named measurements, one after the other."""
+    """Run the named measurements one after the other, and return their slopes."""
     rows: list[dict] = []
     for name in names:
         print(f"capacity: {name}", file=sys.stderr)
--- a/packages/wasabideck_lab/wasabideck_lab/claims_run.py
+++ b/packages/wasabideck_lab/wasabideck_lab/claims_run.py
@@ -1,4 +1,4 @@
-"""Measures what it costs that claims which arrive together share a transaction."""
+"""Measures the latency of claims that arrive together and share a transaction."""
 
 from __future__ import annotations
 
@@ -20,38 +20,52 @@
 __all__ = ["run_claims"]
 
 
-async def run_claims(rate: float, seconds: float, slow: float, senders: int) -> dict:
-    """Take claims at a rate, from a table that answers after ``slow`` seconds."""
-    standin = TableStandin(Faults(random.Random(1), {"slow": slow}))
+async def run_claims(
+    rate: float, seconds: float, table_seconds: float, senders: int
+) -> dict:
+    """Take claims at a constant rate from a slow table, and return the latencies.
+
+    Parameters
+    ----------
+    rate : float
+        Claims per second.
+    seconds : float
+        Time for which claims are sent.
+    table_seconds : float
+        Time that the table takes for each response.
+    senders : int
+        Maximum number of concurrent transactions.
+    """
+    standin = TableStandin(Faults(random.Random(1), {"slow": table_seconds}))
     address, runner = await serve_standin(standin)
     async with aiohttp.ClientSession() as session:
         table = Table(HttpClient(address, 5.0, session))
         store = ClaimStore(table, Events("lab", Clock(), time.time))
         store.batch.senders = senders
-        waits = await _take_all(store, int(rate * seconds), 1 / rate)
+        latencies = await _take_all(store, int(rate * seconds), 1 / rate)
     await runner.cleanup()
-    waits.sort()
+    latencies.sort()
     return {
         "rate": rate,
-        "table_seconds": slow,
+        "table_seconds": table_seconds,
         "senders": senders,
-        "claims": len(waits),
+        "claims": len(latencies),
         "transactions": standin.writes,
-        "p50_ms": round(1000 * waits[len(waits) // 2], 1),
-        "p99_ms": round(1000 * waits[int(len(waits) * 0.99)], 1),
+        "p50_ms": round(1000 * latencies[len(latencies) // 2], 1),
+        "p99_ms": round(1000 * latencies[int(len(latencies) * 0.99)], 1),
     }
 
 
-async def _take_all(store: ClaimStore, count: int, gap: float) -> list[float]:
+async def _take_all(store: ClaimStore, count: int, interval: float) -> list[float]:
     async def take(number: int) -> float:
-        begun = time.monotonic()
+        started = time.monotonic()
         claim = Claim("org-1", f"key-{number}", "digest", f"attempt-{number}", "vm")
         await store.take(claim)
-        return time.monotonic() - begun
+        return time.monotonic() - started
 
-    begun = time.monotonic()
+    started = time.monotonic()
     tasks = []
     for number in range(count):
-        await asyncio.sleep(max(0.0, begun + number * gap - time.monotonic()))
+        await asyncio.sleep(max(0.0, started + number * interval - time.monotonic()))
         tasks.append(asyncio.create_task(take(number)))
     return await asyncio.gather(*tasks)
--- a/packages/wasabideck_lab/wasabideck_lab/decisions.py
+++ b/packages/wasabideck_lab/wasabideck_lab/decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions of one transfer cost an agent, by the size of the fleet."""
+"""Measures the cost of an agent's decisions in a transfer, by fleet size."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 __all__ = ["measure_decisions"]
 
-SIZES = (16, 64, 256, 1024, 2100)
+FLEET_SIZES = (16, 64, 256, 1024, 2100)
 CHUNKS = 256
 REGIONS = 3
 REPEATS = 300
 
 
 def measure_decisions(seed: int) -> list[dict]:
-    """Microseconds and bytes of each decision, one row a size."""
-    return [_measure(size, seed) for size in SIZES]
+    """Return the microseconds and bytes of each decision, one row per fleet size."""
+    return [_measure(size, seed) for size in FLEET_SIZES]
 
 
 def _measure(size: int, seed: int) -> dict:
@@ -42,20 +42,24 @@
     return {
         "vms": size,
         "chunks": CHUNKS,
-        "next_fetch_us": _micros(lambda: next_fetch(view, 1.0, rng)),
-        "whom_to_ask_us": _micros(lambda: whom_to_ask(view, 1.0, rng)),
-        "hear_us": _micros(lambda: hear(view, "vm-1", rng.getrandbits(CHUNKS), 1.0)),
-        "set_members_us": _micros(lambda: set_members(view, "manifest", members), 5),
+        "next_fetch_us": _median_micros(lambda: next_fetch(view, 1.0, rng)),
+        "whom_to_ask_us": _median_micros(lambda: whom_to_ask(view, 1.0, rng)),
+        "hear_us": _median_micros(
+            lambda: hear(view, "vm-1", rng.getrandbits(CHUNKS), 1.0)
+        ),
+        "set_members_us": _median_micros(
+            lambda: set_members(view, "manifest", members), 5
+        ),
         "view_bytes": size_bytes,
         "bitmap_bytes": CHUNKS // 8,
     }
 
 
-def _micros(step: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Microseconds of one step, the median of several."""
-    times = []
+def _median_micros(decide: Callable[[], object], repeats: int = REPEATS) -> float:
+    """Return the median duration of repeated calls, in microseconds."""
+    durations = []
     for _ in range(repeats):
-        begun = time.perf_counter()
-        step()
-        times.append(time.perf_counter() - begun)
-    return round(sorted(times)[repeats // 2] * 1e6, 1)
+        started = time.perf_counter()
+        decide()
+        durations.append(time.perf_counter() - started)
+    return round(sorted(durations)[repeats // 2] * 1e6, 1)
--- a/packages/wasabideck_lab/wasabideck_lab/demo.py
+++ b/packages/wasabideck_lab/wasabideck_lab/demo.py
@@ -1,4 +1,4 @@
-"""The main job on an embedded default: one rollout, two answers, one report."""
+"""Runs a demo on a built-in fleet: one rollout, two requests and one report."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 from .toml import to_toml
 from .weights import make_weights
 
-__all__ = ["DemoFailed", "Session", "run_demo", "run_session"]
+__all__ = ["DemoFailed", "SessionResult", "run_demo", "run_session"]
 
 CHUNKS = 64
 CHUNK_BYTES = 16 * 1024
-IN_FORCE_SECONDS = 20.0
-FED = {
+IN_EFFECT_TIMEOUT_SECONDS = 20.0
+# Metric samples that each process must have after the session.
+EXPECTED_SAMPLES = {
     "entry-1": (
         'wasabideck_requests_total{outcome="Answered",service="drafting"} 1',
         'wasabideck_requests_total{outcome="Answered",service="orders"} 1',
@@ -52,12 +53,28 @@
 
 
 class DemoFailed(Exception):
-    """Something in the demo's session was not as promised."""
+    """The demo's session did not run as expected."""
 
 
 @frozen
-class Session:
-    """What the demo's session gave."""
+class SessionResult:
+    """Results of the demo's session.
+
+    Attributes
+    ----------
+    ticket : dict
+        Response to the submitted ticket.
+    report : list of dict
+        Rows of the report, once the ticket is in effect.
+    draft, order : list of dict
+        Lines of the responses to the two requests.
+    events : list of Path
+        Event files of all processes.
+    exit_codes, metrics : dict
+        Exit code and metrics of each process, by VM.
+    order_runs : dict
+        How often the plain service ran each idempotency key.
+    """
 
     ticket: dict
     report: list[dict]
@@ -69,8 +86,8 @@
     metrics: dict[str, str]
 
 
-async def run_session(folder: Path) -> Session:
-    """The whole path in separate processes: rollout, draft, order, report."""
+async def run_session(folder: Path) -> SessionResult:
+    """Run the rollout, a draft and an order in separate processes."""
     lab = Lab(folder)
     await lab.start_platform()
     digest = lab.publish(*make_weights("drafter", "v1", CHUNKS, CHUNK_BYTES, 0))
@@ -85,61 +102,70 @@
             ticket = await submit(session, first_ticket(folder, digest))
             report = await wait_in_force(session, 1, 2)
             await wait_serving(session, 3)
-            draft = await call(session, "drafting", "brief", "a banner for the fair")
-            order = await call(session, "orders", "print", "20 banners", ORDER_KEY)
-            metrics = {vm: await scrape(p.http) for vm, p in lab.processes.items()}
+            draft = await call_service(
+                session, "drafting", "brief", "a banner for the fair"
+            )
+            order = await call_service(
+                session, "orders", "print", "20 banners", ORDER_KEY
+            )
+            metrics = {
+                vm: await fetch_metrics(p.http) for vm, p in lab.processes.items()
+            }
     finally:
         codes = await lab.close()
     events = [process.events for process in lab.processes.values()]
     runs = dict(lab.plains["order-1"].runs)
-    return Session(ticket, report, draft, order, events, codes, runs, metrics)
+    return SessionResult(ticket, report, draft, order, events, codes, runs, metrics)
 
 
-def wrong_in(session: Session) -> list[str]:
-    """What is not as promised in a session; empty when all is."""
+def find_deviations(session: SessionResult) -> list[str]:
+    """Return descriptions of what differs from the expected session, if anything."""
     merged = merge_events(str(path) for path in session.events)
     kinds = {event["message_type"] for event in merged.events}
-    bytes_got = [sum(row["sources"].values()) for row in session.report]
+    received_bytes = [sum(row["sources"].values()) for row in session.report]
     words = "".join(line.get("text", "") for line in session.draft).split()
-    found = {
+    checks = {
         f"exit codes {session.exit_codes}": any(session.exit_codes.values()),
-        f"bytes received {bytes_got}": set(bytes_got) != {CHUNKS * CHUNK_BYTES},
+        f"bytes received {received_bytes}": set(received_bytes)
+        != {CHUNKS * CHUNK_BYTES},
         f"draft {words}": {word.split("-")[1] for word in words} != {"v1"},
-        f"draft's end {session.draft[-1]}": not _answered(session.draft),
-        f"order's end {session.order[-1]}": not _answered(session.order),
+        f"end of draft {session.draft[-1]}": not _is_answered(session.draft),
+        f"end of order {session.order[-1]}": not _is_answered(session.order),
         f"runs of the order {session.order_runs}": session.order_runs != {ORDER_KEY: 1},
         f"unreadable events {merged.unreadable}": bool(merged.unreadable),
         f"unknown events {kinds - KINDS.keys()}": not kinds <= KINDS.keys(),
-        f"metrics not fed {_unfed(session.metrics)}": bool(_unfed(session.metrics)),
+        f"missing metrics {_missing_samples(session.metrics)}": bool(
+            _missing_samples(session.metrics)
+        ),
     }
-    return [what for what, wrong in found.items() if wrong]
+    return [what for what, differs in checks.items() if differs]
 
 
-def _unfed(metrics: dict[str, str]) -> list[str]:
-    """Samples that the session must have left, and did not."""
+def _missing_samples(metrics: dict[str, str]) -> list[str]:
+    """Return the expected samples that are missing in the metrics."""
     return [
         f"{vm}: {sample}"
-        for vm, samples in FED.items()
+        for vm, samples in EXPECTED_SAMPLES.items()
         for sample in samples
         if sample not in metrics[vm]
     ]
 
 
-async def scrape(address: str) -> str:
-    """Metrics of a process, as Prometheus reads them."""
+async def fetch_metrics(address: str) -> str:
+    """Return the metrics of a process in the text format of Prometheus."""
     async with (
         aiohttp.ClientSession() as session,
-        session.get(f"http://{address}/metrics") as answer,
+        session.get(f"http://{address}/metrics") as response,
     ):
-        return await answer.text()
+        return await response.text()
 
 
-def _answered(lines: list[dict]) -> bool:
+def _is_answered(lines: list[dict]) -> bool:
     return lines[-1].get("outcome") == "answered"
 
 
 def first_ticket(folder: Path, digest: str) -> Path:
-    """The file of ticket 1: drafter v1 on every drafting server."""
+    """Write ticket 1, drafter v1 on every drafting server, and return its file."""
     change = {
         "scope": "drafting",
         "model": "drafter",
@@ -152,72 +178,84 @@
 
 
 async def submit(session: aiohttp.ClientSession, file: Path) -> dict:
-    """Submit a ticket; raises ``DemoFailed`` unless it is accepted."""
+    """Submit a ticket and return the response.
+
+    Raises
+    ------
+    DemoFailed
+        The ticket was not accepted.
+    """
     headers = {"authorization": f"Bearer {OPERATOR_TOKEN}", "x-source": file.name}
     req = session.post("/v1/tickets", data=file.read_bytes(), headers=headers)
-    async with req as answer:
-        if answer.status != 200:
-            raise DemoFailed(f"ticket refused: {await answer.text()}")
-        return await answer.json()
+    async with req as response:
+        if response.status != 200:
+            raise DemoFailed(f"ticket refused: {await response.text()}")
+        return await response.json()
 
 
 async def wait_in_force(
     session: aiohttp.ClientSession, number: int, vms: int
 ) -> list[dict]:
-    """The report, once a ticket is in force on so many VMs."""
+    """Wait until a ticket is in effect on ``vms`` VMs, and return the report."""
     headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
-    limit = time.monotonic() + IN_FORCE_SECONDS
-    while time.monotonic() < limit:
-        async with session.get("/v1/report", headers=headers) as answer:
-            report = await answer.json()
+    deadline = time.monotonic() + IN_EFFECT_TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
+        async with session.get("/v1/report", headers=headers) as response:
+            report = await response.json()
         if sum(r["ticket"] == number and r["in_force"] > 0 for r in report) == vms:
             return report
         await asyncio.sleep(0.1)
-    raise DemoFailed(f"ticket {number} is not in force on {vms} VMs: {report}")
+    raise DemoFailed(f"ticket {number} is not in effect on {vms} VMs: {report}")
 
 
 async def wait_serving(session: aiohttp.ClientSession, servers: int) -> None:
-    """Wait until an entry knows that so many servers serve."""
+    """Wait until an entry knows that ``servers`` servers are serving."""
     headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
-    limit = time.monotonic() + IN_FORCE_SECONDS
-    while time.monotonic() < limit:
-        async with session.get("/v1/fleet", headers=headers) as answer:
-            fleet = await answer.json()
+    deadline = time.monotonic() + IN_EFFECT_TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
+        async with session.get("/v1/fleet", headers=headers) as response:
+            fleet = await response.json()
         if sum(server["serving"] for server in fleet) == servers:
             return
         await asyncio.sleep(0.05)
-    raise DemoFailed(f"{servers} servers do not serve: {fleet}")
+    raise DemoFailed(f"expected {servers} serving servers: {fleet}")
 
 
-async def call(
+async def call_service(
     session: aiohttp.ClientSession,
     service: str,
     route: str,
     body: str,
     key: str = "",
 ) -> list[dict]:
-    """Lines of one whole answer; raises ``DemoFailed`` on any other."""
+    """Send a request and return the lines of its response.
+
+    Raises
+    ------
+    DemoFailed
+        The response has another status than 200.
+    """
     headers = {"authorization": f"Bearer {CALLER_TOKEN}", "idempotency-key": key}
     path = f"/v1/services/{service}/{route}"
-    async with session.post(path, data=body.encode(), headers=headers) as answer:
-        data = await answer.read()
-    if answer.status != 200:
-        raise DemoFailed(f"{service}/{route}: {answer.status} {data!r}")
+    async with session.post(path, data=body.encode(), headers=headers) as response:
+        data = await response.read()
+    if response.status != 200:
+        raise DemoFailed(f"{service}/{route}: {response.status} {data!r}")
     return [orjson.loads(line) for line in data.splitlines()]
 
 
 def run_demo() -> int:
-    """Run the session and print its report and time line; the exit code."""
+    """Run the session, print its report and timeline, and return the exit code."""
     with tempfile.TemporaryDirectory() as folder:
         session = asyncio.run(run_session(Path(folder)))
         print("== report: who got which weights, when, and from where")
         show_report(session.report)
         print("== time line")
         show_timeline([str(path) for path in session.events], json=False)
-        wrong = wrong_in(session)
+        deviations = find_deviations(session)
     print("== answers")
     print("".join(line.get("text", "") for line in session.draft).strip())
     print("".join(line.get("text", "") for line in session.order))
-    for what in wrong:
+    for what in deviations:
         print(f"wrong: {what}")
-    return 1 if wrong else 0
+    return 1 if deviations else 0
--- a/packages/wasabideck_lab/wasabideck_lab/engine_host.py
+++ b/packages/wasabideck_lab/wasabideck_lab/engine_host.py
@@ -1,4 +1,4 @@
-"""Serves the engines' stand-ins of many VMs in one process, on one port."""
+"""Serves the engine stand-ins of many VMs in one process, on one port."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 __all__ = ["main"]
 
-BODY_BYTES = 64 << 20
+MAX_BODY_BYTES = 64 << 20
 
 
 async def _serve(cfg: dict, stop: asyncio.Event) -> None:
@@ -28,20 +28,20 @@
     engines = {
         vm: EngineStandin(Faults(random.Random(vm)), manifests) for vm in cfg["vms"]
     }
-    app = web.Application(client_max_size=BODY_BYTES)
+    app = web.Application(client_max_size=MAX_BODY_BYTES)
     for vm, engine in engines.items():
-        sub = web.Application(client_max_size=BODY_BYTES)
-        sub.add_routes(engine.routes())
-        app.add_subapp(f"/{vm}", sub)
+        vm_app = web.Application(client_max_size=MAX_BODY_BYTES)
+        vm_app.add_routes(engine.routes())
+        app.add_subapp(f"/{vm}", vm_app)
 
-    async def books(req: web.Request) -> web.Response:
+    async def list_engines(req: web.Request) -> web.Response:
         rows = {
             vm: {"mixed": engine.mixed, "loaded": asdict(engine.loaded)}
             for vm, engine in engines.items()
         }
         return web.json_response(rows)
 
-    app.add_routes([web.get("/books", books)])
+    app.add_routes([web.get("/books", list_engines)])
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0, backlog=1024).start()
@@ -52,7 +52,7 @@
 
 
 def main() -> None:
-    """Serve what one line of JSON on standard input names."""
+    """Serve the VMs and manifests given as one line of JSON on standard input."""
     cfg = orjson.loads(sys.stdin.readline())
     run_process(lambda stop: _serve(cfg, stop))
 
--- a/packages/wasabideck_lab/wasabideck_lab/faults.py
+++ b/packages/wasabideck_lab/wasabideck_lab/faults.py
@@ -1,4 +1,4 @@
-"""Switchable faults of a stand-in."""
+"""Faults that can be switched on in a stand-in."""
 
 from __future__ import annotations
 
@@ -11,45 +11,51 @@
 __all__ = ["FAULTS", "Faults"]
 
 FAULTS = {
-    "down": "any but plain: every request is answered 503",
-    "slow": "any: seconds added before every answer",
-    "lose_answer": "table: share of writes that take effect, then hang up",
-    "apply_late": "table: seconds after which a hung-up write takes effect",
-    "lag": "members: seconds by which the list is old",
-    "corrupt": "weights, agents' chunks: share of chunks sent with a flipped byte",
-    "stall": "weights: share of chunk reads that never end",
-    "crash_on": "engine, plain: a body that holds this text kills the server",
-    "order_late": "engine: seconds after which an order takes effect, unanswered",
-    "lose_order": "engine: share of orders that take effect, then hang up",
-    "ignore_fence": "engine: 1 carries out orders with old fencing numbers",
-    "load_lag": "engine: seconds by which the load report is old",
-    "fail_after": "plain: share of calls that run, then answer 500",
-    "cache_gaps": "engine: share of cache events that are never told",
-    "silent": "engine, plain: requests run and are never answered",
+    "down": "any but plain: every request gets the response 503",
+    "slow": "any: seconds of delay before every response",
+    "lose_answer": "table: fraction of writes that take effect and then disconnect",
+    "apply_late": "table: seconds after which a disconnected write takes effect",
+    "lag": "members: age of the list in seconds",
+    "corrupt": "weights, agents' chunks: fraction of chunks sent with a corrupt byte",
+    "stall": "weights: fraction of chunk reads that never end",
+    "crash_on": "engine, plain: a request body with this text crashes the server",
+    "order_late": "engine: seconds after which an order without a response takes effect",
+    "lose_order": "engine: fraction of orders that take effect and then disconnect",
+    "ignore_fence": "engine: 1 executes orders with outdated fencing numbers",
+    "load_lag": "engine: age of the load report in seconds",
+    "fail_after": "plain: fraction of calls that run and then return 500",
+    "cache_gaps": "engine: fraction of cache events that are never sent",
+    "silent": "engine, plain: requests run and never get a response",
 }
 
 
 @define
 class Faults:
-    """Faults of one stand-in, by name; absent means off."""
+    """Faults of one stand-in.
+
+    Attributes
+    ----------
+    active : dict
+        Values of the faults that are on, by name.
+    """
 
     rng: random.Random
     active: dict[str, float | str] = field(factory=dict)
 
     def value(self, name: str) -> float:
-        """A fault's number; 0 when it is off."""
+        """Return a fault's numeric value, or 0 if it is off."""
         return float(self.active.get(name, 0.0))
 
     def text(self, name: str) -> str:
-        """A fault's text; empty when it is off."""
+        """Return a fault's text, or an empty string if it is off."""
         return str(self.active.get(name, ""))
 
     def strikes(self, name: str) -> bool:
-        """Whether a fault that is a share of the cases strikes now."""
+        """Whether a fault that affects a fraction of the cases occurs now."""
         return name in self.active and self.rng.random() < self.value(name)
 
     async def delay(self) -> None:
-        """Wait as long as ``slow`` says, and refuse when ``down``."""
+        """Apply the faults ``slow`` and ``down``: wait, or raise the response 503."""
         if self.value("slow"):
             await asyncio.sleep(self.value("slow"))
         if self.value("down"):
--- a/packages/wasabideck_lab/wasabideck_lab/faults_run.py
+++ b/packages/wasabideck_lab/wasabideck_lab/faults_run.py
@@ -1,4 +1,4 @@
-"""Runs fault scenarios against the real binaries, and audits them."""
+"""Runs fault scenarios against the real binaries and audits the results."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 REQUESTS = 1000
 CHUNKS = 32
 CHUNK_BYTES = 4096
-# Long enough that every fault strikes requests in progress.
+# Requests take long enough that every fault affects requests in progress.
 TOKEN_SECONDS = 0.02
 PLAIN_SECONDS = 0.1
 
@@ -34,25 +34,31 @@
 
 @define
 class Stage:
-    """A fleet that serves ticket 1, and the traffic that runs while faults strike.
+    """A fleet with ticket 1 in effect, and the traffic sent while faults are active.
 
     Attributes
     ----------
-    expected_dead : set of str
-        VMs that a scenario ended itself, so that their exit code does not count.
+    killed : set of str
+        VMs whose processes the scenario killed. Their exit codes are ignored.
+    problems : list of str
+        Descriptions of what went wrong. A scenario with problems is not clean.
+    figures : dict of str to float
+        Measurements of a scenario, by name.
+    relays : dict of str to Relay
+        Relays in front of agents, by VM.
     """
 
     lab: Lab
     traffic: Traffic
     rng: random.Random
     folder: Path
-    expected_dead: set[str] = field(factory=set)
+    killed: set[str] = field(factory=set)
     problems: list[str] = field(factory=list)
     figures: dict[str, float] = field(factory=dict)
     relays: dict[str, Relay] = field(factory=dict)
 
     async def relay(self, *vms: str) -> None:
-        """Put a relay before agents; entries hear its address from the list."""
+        """Put a relay in front of agents, and replace their addresses on the list."""
         for vm in vms:
             relay = Relay(lambda vm=vm: self.lab.processes[vm].inner)
             await relay.start()
@@ -60,13 +66,13 @@
             self.lab.members.put(evolve(self.lab.member(vm), address=relay.address))
 
     def kill(self, *vms: str) -> None:
-        """End VMs' processes at once."""
+        """Kill the processes of VMs."""
         for vm in vms:
-            self.expected_dead.add(vm)
+            self.killed.add(vm)
             self.lab.processes[vm].kill()
 
     async def freeze(self, seconds: float, *vms: str) -> None:
-        """Stop VMs' processes for a while, without ending them."""
+        """Suspend the processes of VMs for some seconds."""
         for vm in vms:
             self.lab.processes[vm].freeze()
         await asyncio.sleep(seconds)
@@ -74,20 +80,20 @@
             self.lab.processes[vm].thaw()
 
     def entries(self) -> list[str]:
-        """Names of the entries that run."""
+        """Return the VM names of all entries."""
         return sorted(vm for vm in self.lab.processes if vm.startswith("entry"))
 
     def any_session(self) -> aiohttp.ClientSession:
-        """A client session for traffic through any entry."""
+        """Return a client session for requests to any entry."""
         return aiohttp.ClientSession()
 
     def session(self, vm: str = "entry-1") -> aiohttp.ClientSession:
-        """A client session towards one entry."""
+        """Return a client session for requests to one entry."""
         return aiohttp.ClientSession(f"http://{self.lab.processes[vm].http}")
 
 
 def scenario(name: str) -> Callable[[Scenario], Scenario]:
-    """Register a scenario under a name."""
+    """Return a decorator that registers a scenario under a name."""
 
     def register(function: Scenario) -> Scenario:
         SCENARIOS[name] = function
@@ -99,31 +105,33 @@
 async def run_scenario(
     name: str, seed: int, requests: int = REQUESTS, rate: float = 100.0
 ) -> dict:
-    """Run one scenario under traffic; its audit as a dict, with ``clean``."""
+    """Run one scenario under traffic, and return its audit as a row with ``clean``."""
     with tempfile.TemporaryDirectory() as folder:
-        stage = await _set_up(Path(folder), seed, rate)
+        stage = await _start_stage(Path(folder), seed, rate)
         try:
             running = asyncio.create_task(stage.traffic.run(requests))
             await SCENARIOS[name](stage)
             await running
-            found = audit(stage.lab, stage.traffic.results)
+            result = audit(stage.lab, stage.traffic.results)
         finally:
-            codes = await stage.lab.close()
+            exit_codes = await stage.lab.close()
             for relay in stage.relays.values():
                 await relay.close()
-    return _shown(name, seed, found, stage, codes)
+    return _result_row(name, seed, result, stage, exit_codes)
 
 
-def _shown(name: str, seed: int, found: Audit, stage: Stage, codes: dict) -> dict:
-    for vm, code in codes.items():
-        if code and vm not in stage.expected_dead:
+def _result_row(
+    name: str, seed: int, result: Audit, stage: Stage, exit_codes: dict
+) -> dict:
+    for vm, code in exit_codes.items():
+        if code and vm not in stage.killed:
             stage.problems.append(f"{vm} exited with {code}")
-    clean = found.clean and not stage.problems
-    row = {"scenario": name, "seed": seed, "clean": clean} | asdict(found)
+    clean = result.clean and not stage.problems
+    row = {"scenario": name, "seed": seed, "clean": clean} | asdict(result)
     return row | {"problems": stage.problems, "figures": stage.figures}
 
 
-async def _set_up(folder: Path, seed: int, rate: float) -> Stage:
+async def _start_stage(folder: Path, seed: int, rate: float) -> Stage:
     lab = Lab(folder, seed, token_seconds=TOKEN_SECONDS, plain_seconds=PLAIN_SECONDS)
     await lab.start_platform()
     digest = lab.publish(*make_weights("drafter", "v1", CHUNKS, CHUNK_BYTES, seed))
@@ -134,11 +142,11 @@
     )
     rng = random.Random(seed)
 
-    def addresses() -> list[str]:
+    def entry_addresses() -> list[str]:
         entries = (p for vm, p in lab.processes.items() if vm.startswith("entry"))
         return [p.http for p in entries if p.process.returncode is None]
 
-    stage = Stage(lab, Traffic(addresses, rng, rate), rng, folder)
+    stage = Stage(lab, Traffic(entry_addresses, rng, rate), rng, folder)
     async with stage.session() as session:
         await submit(session, first_ticket(folder, digest))
         await wait_in_force(session, 1, 3)
--- a/packages/wasabideck_lab/wasabideck_lab/faulty_agent.py
+++ b/packages/wasabideck_lab/wasabideck_lab/faulty_agent.py
@@ -1,4 +1,4 @@
-"""The real agent, but for a share of its chunks that it sends with a flipped byte."""
+"""Runs the real agent, except that it corrupts a fraction of the chunks it sends."""
 
 from __future__ import annotations
 
@@ -13,14 +13,18 @@
 
 
 def main() -> None:
-    """Run the agent's command line behind a first argument: the share."""
-    share = float(sys.argv.pop(1))
+    """Run the agent's command line.
+
+    The first argument is the fraction of chunks to corrupt. The other arguments are
+    those of the agent.
+    """
+    corrupt_ratio = float(sys.argv.pop(1))
     rng = random.Random(sys.argv[-1])
-    honest = ChunksService._chunk
+    original = ChunksService._chunk
 
     def corrupt(service: ChunksService, req: pb.FetchRequest) -> bytes | None:
-        data = honest(service, req)
-        if not data or rng.random() >= share:
+        data = original(service, req)
+        if not data or rng.random() >= corrupt_ratio:
             return data
         return bytes([data[0] ^ 1]) + data[1:]
 
--- a/packages/wasabideck_lab/wasabideck_lab/in_force.py
+++ b/packages/wasabideck_lab/wasabideck_lab/in_force.py
@@ -1,4 +1,4 @@
-"""Measures the time from a ticket's acceptance to in force, by fleet size."""
+"""Measures the time from a ticket's acceptance to in effect, by fleet size."""
 
 from __future__ import annotations
 
@@ -18,34 +18,36 @@
 from .toml import to_toml
 from .weights import make_weights
 
-__all__ = ["measure_in_force"]
+__all__ = ["measure_time_to_effect"]
 
-SIZES = (8, 16, 32, 64)
+FLEET_SIZES = (8, 16, 32, 64)
 ENTRIES = 3
 TICKETS = 5
-TARGET = 1400
+TARGET_SERVERS = 1400
 CHUNKS = 8
 CHUNK_BYTES = 4096
-LIMIT_SECONDS = 60.0
-LOOK_SECONDS = 0.005
-STARTED_AT_ONCE = 8
+TIMEOUT_SECONDS = 60.0
+POLL_SECONDS = 0.005
+MAX_CONCURRENT_STARTS = 8
 HEADERS = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
 
 
-async def measure_in_force(sizes: tuple[int, ...] = SIZES) -> list[dict]:
-    """Lines of the slowest VM's times over fleet sizes, in seconds.
+async def measure_time_to_effect(sizes: tuple[int, ...] = FLEET_SIZES) -> list[dict]:
+    """Return slopes of the slowest VM's times by fleet size, in seconds.
 
-    Each serving ticket follows a standby ticket for the same weights that is whole
-    everywhere, so that what is measured is the ticket and not the transfer.
+    Each serving ticket follows a standby ticket for the same weights. The standby
+    ticket is complete on all VMs before, so that the transfer is not measured.
     """
-    heard, in_force = [], []
+    slowest_received, slowest_in_effect = [], []
     for size in sizes:
-        seen, served = await _measure(size)
-        heard.append(max(seen))
-        in_force.append(max(served))
+        received, in_effect = await _measure(size)
+        slowest_received.append(max(received))
+        slowest_in_effect.append(max(in_effect))
     return [
-        fit("last VM heard of a ticket", "s", sizes, heard).shown(TARGET),
-        fit("last VM in force", "s", sizes, in_force).shown(TARGET),
+        fit("last VM heard of a ticket", "s", sizes, slowest_received).shown(
+            TARGET_SERVERS
+        ),
+        fit("last VM in force", "s", sizes, slowest_in_effect).shown(TARGET_SERVERS),
     ]
 
 
@@ -56,20 +58,26 @@
         try:
             for index in range(ENTRIES):
                 await lab.start_entry(f"entry-{index}", SERVICES)
-            for begin in range(0, size, STARTED_AT_ONCE):
-                names = range(begin, min(begin + STARTED_AT_ONCE, size))
+            for begin in range(0, size, MAX_CONCURRENT_STARTS):
+                names = range(begin, min(begin + MAX_CONCURRENT_STARTS, size))
                 await asyncio.gather(
                     *(lab.start_engine_vm(f"draft-{i}", "drafting") for i in names)
                 )
-            served = [await _roll_out(lab, step) for step in range(TICKETS)]
+            in_effect = [await _roll_out(lab, step) for step in range(TICKETS)]
             numbers = [2 * step + 2 for step in range(TICKETS)]
-            return [_heard(lab, number) for number in numbers], served
+            return [_seconds_to_receipt(lab, number) for number in numbers], in_effect
         finally:
             await lab.close()
 
 
 async def _roll_out(lab: Lab, step: int) -> float:
-    """Seconds from acceptance until the last engine serves a new version."""
+    """Roll out a new version.
+
+    Returns
+    -------
+    float
+        Seconds from the ticket's acceptance until the last engine serves the version.
+    """
     version = f"v{step}"
     weights = make_weights("drafter", version, CHUNKS, CHUNK_BYTES, lab.seed)
     digest = lab.publish(*weights)
@@ -82,16 +90,16 @@
     entry = f"entry-{step % ENTRIES}"
     number = 2 * step + 1
     await _submit(lab, entry, number, change | {"slot": "standby"})
-    await _until(lambda: _rows(lab, number) == len(lab.engines))
+    await _wait_until(lambda: _delivery_count(lab, number) == len(lab.engines))
     submitted = asyncio.create_task(_submit(lab, entry, number + 1, change))
-    stands = f"{number + 1:020d}"
-    await _until(lambda: stands in lab.table.rows["tickets"])
-    begun = time.monotonic()
+    ticket_key = f"{number + 1:020d}"
+    await _wait_until(lambda: ticket_key in lab.table.rows["tickets"])
+    started = time.monotonic()
     engines = lab.engines.values()
-    await _until(lambda: all(e.loaded.fence == number + 1 for e in engines))
-    took = time.monotonic() - begun
+    await _wait_until(lambda: all(e.loaded.fence == number + 1 for e in engines))
+    seconds = time.monotonic() - started
     await submitted
-    return took
+    return seconds
 
 
 async def _submit(lab: Lab, vm: str, number: int, change: dict) -> None:
@@ -101,24 +109,24 @@
         await session.post(url, data=body, headers=HEADERS)
 
 
-def _rows(lab: Lab, number: int) -> int:
+def _delivery_count(lab: Lab, number: int) -> int:
     rows = lab.table.rows.get("deliveries", {})
     return sum(key.startswith(f"{number:020d}/") for key in rows)
 
 
-async def _until(holds) -> None:
-    async with asyncio.timeout(LIMIT_SECONDS):
-        while not holds():
-            await asyncio.sleep(LOOK_SECONDS)
+async def _wait_until(condition) -> None:
+    async with asyncio.timeout(TIMEOUT_SECONDS):
+        while not condition():
+            await asyncio.sleep(POLL_SECONDS)
 
 
-def _heard(lab: Lab, number: int) -> float:
-    """Seconds from the acceptance event until the last agent's event of it."""
-    accepted = min(_times(lab, "entry", "ticket.accepted", number))
-    return max(_times(lab, "draft", "ticket.seen", number)) - accepted
+def _seconds_to_receipt(lab: Lab, number: int) -> float:
+    """Return the seconds from a ticket's acceptance to the last agent's receipt."""
+    accepted = min(_event_times(lab, "entry", "ticket.accepted", number))
+    return max(_event_times(lab, "draft", "ticket.seen", number)) - accepted
 
 
-def _times(lab: Lab, kind: str, event: str, number: int) -> Iterator[float]:
+def _event_times(lab: Lab, kind: str, event: str, number: int) -> Iterator[float]:
     for vm, process in lab.processes.items():
         if not vm.startswith(kind):
             continue
--- a/packages/wasabideck_lab/wasabideck_lab/launcher.py
+++ b/packages/wasabideck_lab/wasabideck_lab/launcher.py
@@ -1,4 +1,4 @@
-"""Starts the stand-ins in this process and the real binaries beside it."""
+"""Runs stand-ins in this process and starts the real binaries as subprocesses."""
 
 from __future__ import annotations
 
@@ -23,15 +23,17 @@
 
 __all__ = ["Lab", "Process", "serve_standin"]
 
-READY_SECONDS = 30.0
-STOP_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
+STOP_TIMEOUT_SECONDS = 30.0
 OPERATOR_TOKEN = "sample-operator-token"
 CALLER_TOKEN = "sample-caller-token"
 
 
-async def serve_standin(standin: object, size: int = 64 << 20) -> tuple[str, object]:
-    """Serve a stand-in on a free port of loopback; its address and its runner."""
-    app = web.Application(client_max_size=size)
+async def serve_standin(
+    standin: object, max_body_bytes: int = 64 << 20
+) -> tuple[str, object]:
+    """Serve a stand-in on a free loopback port; return its address and its runner."""
+    app = web.Application(client_max_size=max_body_bytes)
     app.add_routes(standin.routes())
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
@@ -42,7 +44,19 @@
 
 @define
 class Process:
-    """One of the system's processes, started by the lab."""
+    """A subprocess, either an entry or an agent, that the lab has started.
+
+    Attributes
+    ----------
+    inner, http : str
+        Addresses at which it serves its peers, and HTTP.
+    events : Path
+        File to which it writes its events.
+    binary : str
+        Name of the binary.
+    settings : dict
+        Contents of its settings file.
+    """
 
     vm: str
     process: asyncio.subprocess.Process
@@ -53,27 +67,49 @@
     settings: dict = field(factory=dict)
 
     def kill(self) -> None:
-        """End it at once, as a VM that dies."""
+        """Kill the process, as when its VM fails."""
         self.process.kill()
 
     def freeze(self) -> None:
-        """Stop it without ending it."""
+        """Suspend the process."""
         self.process.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.process.send_signal(signal.SIGCONT)
 
     async def stop(self) -> int:
-        """Stop it gracefully; its exit code."""
+        """Terminate the process gracefully, and return its exit code."""
         if self.process.returncode is None:
             self.process.terminate()
-        return await asyncio.wait_for(self.process.wait(), STOP_SECONDS)
+        return await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_SECONDS)
 
 
 @define
 class Lab:
-    """A small fleet: stand-ins here, real processes on loopback."""
+    """A small fleet: stand-ins in this process, and real processes on loopback.
+
+    Attributes
+    ----------
+    origin_rate : float
+        Rate of the weights' origin in bytes per second; 0 for no limit.
+    token_seconds, plain_seconds : float
+        Time that an engine takes for a token, and a plain service for a call.
+    tls : dict or None
+        TLS settings of all processes; None for plain text.
+    entry_settings : dict
+        Additional settings of the entries.
+    server_settings : dict
+        Additional settings of the servers, by service.
+    addresses : dict
+        Addresses of the platform's stand-ins, by name.
+    server_addresses : dict
+        Addresses of the backend servers, by VM.
+    manifests : dict
+        Published manifests, by digest.
+    engines, plains, processes : dict
+        Engines, plain services and processes, by VM.
+    """
 
     folder: Path
     seed: int = 0
@@ -95,13 +131,13 @@
     _runners: list = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Make the platform's stand-ins."""
+        """Create the platform's stand-ins."""
         self.table = TableStandin(self.faults("table"))
         self.members = MembersStandin(self.faults("members"))
         self.weights = WeightsStandin(self.faults("weights"), Pacer(self.origin_rate))
 
     def faults(self, name: str) -> Faults:
-        """A stand-in's faults, drawn from the lab's seed."""
+        """Return a stand-in's faults, whose randomness depends on the lab's seed."""
         return Faults(random.Random(f"{self.seed}/{name}"))
 
     async def start_platform(self) -> None:
@@ -110,79 +146,85 @@
             self.addresses[name] = await self._serve(getattr(self, name))
 
     def publish(self, manifest: Manifest, chunks: list[bytes]) -> str:
-        """Publish a version's weights at the origin; the manifest's digest."""
+        """Publish weights at the origin, and return the digest of the manifest."""
         digest = self.weights.publish(manifest, chunks)
         self.manifests[digest] = manifest
         return digest
 
-    async def start_entry(self, vm: str, services: list[dict], **place: str) -> Process:
+    async def start_entry(
+        self, vm: str, services: list[dict], **location: str
+    ) -> Process:
         """Start an entry process and put its VM on the platform's list."""
-        settings = self._common(vm, **place) | {
+        settings = self._common_settings(vm, **location) | {
             "services": services,
             "operators": [{"name": "operator-1", "token": OPERATOR_TOKEN}],
             "callers": [{"organisation": "org-1", "token": CALLER_TOKEN}],
         }
         settings |= self.entry_settings
-        process = await self._start(vm, "wasabideck", settings)
-        self.members.put(Member(vm, ENTRY, process.inner, **_place(place)))
+        process = await self._start_process(vm, "wasabideck", settings)
+        self.members.put(Member(vm, ENTRY, process.inner, **_location(location)))
         return process
 
-    async def start_engine_vm(self, vm: str, service: str, **place: str) -> Process:
+    async def start_engine_vm(self, vm: str, service: str, **location: str) -> Process:
         """Start a model engine and the agent beside it."""
         engine = EngineStandin(self.faults(vm), self.manifests, self.token_seconds)
         self.engines[vm] = engine
-        return await self._start_agent(vm, service, "model", engine, place)
+        return await self._start_agent(vm, service, "model", engine, location)
 
-    async def start_plain_vm(self, vm: str, service: str, **place: str) -> Process:
+    async def start_plain_vm(self, vm: str, service: str, **location: str) -> Process:
         """Start a plain service and the agent beside it."""
         plain = PlainStandin(self.faults(vm), self.plain_seconds)
         self.plains[vm] = plain
-        return await self._start_agent(vm, service, "plain", plain, place)
+        return await self._start_agent(vm, service, "plain", plain, location)
 
     def member(self, vm: str) -> Member:
-        """A VM as the platform's list has it now."""
+        """Return a VM's current entry on the platform's list."""
         return self.members.newest()[vm]
 
     async def _start_agent(
-        self, vm: str, service: str, kind: str, standin: object, place: dict
+        self, vm: str, service: str, kind: str, standin: object, location: dict
     ) -> Process:
         url = self.server_addresses[vm] = await self._serve(standin)
         server = {"service": service, "url": url, "kind": kind}
         server |= self.server_settings.get(service, {})
-        return await self.start_agent(vm, {"server": server}, **place)
+        return await self.start_agent(vm, {"server": server}, **location)
 
     async def start_agent(
-        self, vm: str, extra: dict, program: tuple[str, ...] = (), **place: str
+        self, vm: str, extra: dict, program: tuple[str, ...] = (), **location: str
     ) -> Process:
-        """Start the agent of a server that is served already.
+        """Start the agent of a server that already runs.
 
         Parameters
         ----------
         extra : dict
-            Settings besides the common ones; ``server`` at least.
+            Settings in addition to the common ones; must contain ``server``.
         program : tuple of str
-            Another program than the agent's binary.
+            Program to run instead of the agent's binary.
         """
-        settings = self._common(vm, **place)
+        settings = self._common_settings(vm, **location)
         settings["platform"] |= extra.get("platform", {})
         settings |= {k: v for k, v in extra.items() if k != "platform"}
         service = extra["server"]["service"]
-        process = await self._start(vm, "wasabideck-agent", settings, program)
-        member = Member(vm, AGENT, process.inner, service=service, **_place(place))
+        process = await self._start_process(vm, "wasabideck-agent", settings, program)
+        member = Member(
+            vm, AGENT, process.inner, service=service, **_location(location)
+        )
         self.members.put(member)
         return process
 
     async def restart(self, vm: str) -> Process:
-        """Start a VM's process again, at the addresses that the dead one had."""
-        dead = self.processes[vm]
-        place = {"inner": dead.inner, "http": dead.http}
-        settings = dead.settings | {"process": dead.settings["process"] | place}
-        return await self._start(vm, dead.binary, settings)
+        """Restart the terminated process of a VM at its previous addresses."""
+        previous = self.processes[vm]
+        addresses = {"inner": previous.inner, "http": previous.http}
+        settings = previous.settings | {
+            "process": previous.settings["process"] | addresses
+        }
+        return await self._start_process(vm, previous.binary, settings)
 
     async def close(self) -> dict[str, int]:
-        """Stop everything gracefully; exit codes by VM."""
-        stops = [process.stop() for process in self.processes.values()]
-        codes = await asyncio.gather(*stops)
+        """Terminate all processes gracefully, and return their exit codes by VM."""
+        exits = [process.stop() for process in self.processes.values()]
+        codes = await asyncio.gather(*exits)
         for runner in self._runners:
             await runner.cleanup()
         return dict(zip(self.processes, codes, strict=True))
@@ -192,21 +234,21 @@
         self._runners.append(runner)
         return address
 
-    def _common(self, vm: str, **place: str) -> dict:
+    def _common_settings(self, vm: str, **location: str) -> dict:
         process = {"vm": vm, "events": str(self.folder / f"{vm}.events")}
         return {
             "seed": self.seed,
             **({"tls": self.tls} if self.tls else {"plain_text": True}),
-            "process": process | _place(place),
+            "process": process | _location(location),
             "platform": {k: self.addresses[k] for k in ("table", "members", "weights")},
         }
 
-    async def _start(
+    async def _start_process(
         self, vm: str, binary: str, settings: dict, program: tuple[str, ...] = ()
     ) -> Process:
         path = self.folder / f"{vm}.toml"
         path.write_text(to_toml(settings))
-        # The binaries stand beside the interpreter that runs the lab.
+        # The binaries are in the same directory as the interpreter that runs the lab.
         binaries = Path(sys.executable).parent
         child = await asyncio.create_subprocess_exec(
             *(program or (str(binaries / binary),)),
@@ -215,7 +257,7 @@
             stdout=asyncio.subprocess.PIPE,
             env=os.environ | {"PYTHONUNBUFFERED": "1"},
         )
-        line = await asyncio.wait_for(child.stdout.readline(), READY_SECONDS)
+        line = await asyncio.wait_for(child.stdout.readline(), READY_TIMEOUT_SECONDS)
         ready = orjson.loads(line)["ready"]
         events = Path(settings["process"]["events"])
         process = Process(
@@ -225,6 +267,9 @@
         return process
 
 
-def _place(place: dict[str, str]) -> dict[str, str]:
-    region = place.get("region", "region-1")
-    return {"region": region, "data_centre": place.get("data_centre", f"{region}-dc-1")}
+def _location(location: dict[str, str]) -> dict[str, str]:
+    region = location.get("region", "region-1")
+    return {
+        "region": region,
+        "data_centre": location.get("data_centre", f"{region}-dc-1"),
+    }
--- a/packages/wasabideck_lab/wasabideck_lab/losses.py
+++ b/packages/wasabideck_lab/wasabideck_lab/losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost, window by window, from the entries' own logs."""
+"""Counts how requests ended, by time window, from the event logs of entries."""
 
 from __future__ import annotations
 
@@ -10,110 +10,113 @@
 from attrs import frozen
 from wasabideck_policy.placement import Urgency
 
-__all__ = ["Ended", "losses", "read_ended", "tabulate"]
+__all__ = ["EndedRequest", "count_by_window", "losses", "read_ended_requests"]
 
-ENDED = "request.ended"
+ENDED_EVENT = "request.ended"
 AHEAD, BEHIND = "ahead", "behind"
 
 
 @frozen
-class Ended:
+class EndedRequest:
     """How one request ended.
 
     Attributes
     ----------
-    arrived : float
-        When an entry read it, seconds.
-    first : float or None
-        How long its first event took, seconds.
+    arrived_at : float
+        When an entry read the request, seconds.
+    first_event_seconds : float or None
+        Time from the request's arrival to its first event.
     outcome : str
-        ``answered``, or why not.
-    lane : str
-        Whether it was sent ahead of others or behind them; empty where it was not sent
-        to an engine.
+        ``answered``, or the reason why it was not answered.
+    priority : str
+        Whether it was sent ahead of other requests or behind them. Empty if it was not
+        sent to an engine.
     """
 
-    arrived: float
-    first: float | None
+    arrived_at: float
+    first_event_seconds: float | None
     outcome: str
-    lane: str
+    priority: str
 
-    def loss(self, goal: float) -> str:
-        """What became of it, in a few words."""
+    def describe(self, goal: float) -> str:
+        """Return a short description of how the request ended."""
         if self.outcome != "answered":
-            return f"{self.lane} {self.outcome}".strip()
-        if self.first is None:
+            return f"{self.priority} {self.outcome}".strip()
+        if self.first_event_seconds is None:
             return "plain"
-        in_time = "in time" if self.first <= goal else "late"
-        return f"{self.lane} {in_time}".strip()
+        in_time = "in time" if self.first_event_seconds <= goal else "late"
+        return f"{self.priority} {in_time}".strip()
 
 
-def read_ended(lines: Iterable[str]) -> Iterator[Ended]:
-    """Requests that ended, from lines of events, whatever stands before the event.
+def read_ended_requests(lines: Iterable[str]) -> Iterator[EndedRequest]:
+    """Yield the ended requests from lines of events.
 
-    Lines that hold no event are passed over: logs of several programs come together.
+    Ignores any text before the event in a line, and lines without an event: the log
+    may contain the output of several programs.
     """
     for line in lines:
-        begin = line.find("{")
-        if begin < 0 or ENDED not in line:
+        start = line.find("{")
+        if start < 0 or ENDED_EVENT not in line:
             continue
         try:
-            event = orjson.loads(line[begin:])
+            event = orjson.loads(line[start:])
         except orjson.JSONDecodeError:
             continue
-        if event.get("message_type") == ENDED:
-            yield _ended(event)
+        if event.get("message_type") == ENDED_EVENT:
+            yield _parse_ended(event)
 
 
-def _ended(event: dict) -> Ended:
-    lanes = {Urgency.FRESH: AHEAD, Urgency.LATE: BEHIND}
+def _parse_ended(event: dict) -> EndedRequest:
+    priorities = {Urgency.FRESH: AHEAD, Urgency.LATE: BEHIND}
     outcome = event["outcome"]
     if outcome != "answered":
         outcome = event.get("reason") or outcome
-    return Ended(
+    return EndedRequest(
         event["timestamp"] - event["seconds"],
         event.get("first"),
         outcome,
-        lanes.get(event.get("urgency"), ""),
+        priorities.get(event.get("urgency"), ""),
     )
 
 
-def tabulate(
-    ended: Iterable[Ended], goal: float, window: float
+def count_by_window(
+    ended: Iterable[EndedRequest], goal: float, window: float
 ) -> list[tuple[float, Counter[str]]]:
-    """What became of the requests that came in each window, by seconds from the first.
+    """Count how requests ended, by the window in which they arrived.
+
+    Windows are given by their start in seconds after the first arrival.
 
     Parameters
     ----------
     goal : float
-        Seconds within which a first event is in time.
+        Time within which a first event is in time, seconds.
     window : float
         Length of a window, seconds.
     """
     rows: dict[int, Counter[str]] = {}
-    found = sorted(ended, key=lambda request: request.arrived)
-    for request in found:
-        place = int((request.arrived - found[0].arrived) / window)
-        rows.setdefault(place, Counter())[request.loss(goal)] += 1
-    return [(place * window, rows[place]) for place in sorted(rows)]
+    requests = sorted(ended, key=lambda request: request.arrived_at)
+    for request in requests:
+        index = int((request.arrived_at - requests[0].arrived_at) / window)
+        rows.setdefault(index, Counter())[request.describe(goal)] += 1
+    return [(index * window, rows[index]) for index in sorted(rows)]
 
 
 def losses(*files: str, goal: float = 0.4, window: float = 1.0) -> None:
-    """Tell what became of requests, window by window, from entries' logs.
+    """Print how requests ended, by time window, from the logs of entries.
 
     Parameters
     ----------
     files : str
-        Files with the lines that entries write.
+        Logs of entries.
     goal : float
-        Seconds within which a first event is in time.
+        Time within which a first event is in time, seconds.
     window : float
         Length of a window, seconds.
     """
-    ended = (e for name in files for e in read_ended(_lines(Path(name))))
-    for second, counts in tabulate(ended, goal, window):
-        told = ", ".join(f"{loss} {n}" for loss, n in sorted(counts.items()))
-        print(f"{second:7.1f} s  {told}")
+    ended = (e for name in files for e in read_ended_requests(_lines(Path(name))))
+    for second, counts in count_by_window(ended, goal, window):
+        ends = ", ".join(f"{end} {n}" for end, n in sorted(counts.items()))
+        print(f"{second:7.1f} s  {ends}")
 
 
 def _lines(path: Path) -> Iterator[str]:
--- a/packages/wasabideck_lab/wasabideck_lab/overhead.py
+++ b/packages/wasabideck_lab/wasabideck_lab/overhead.py
@@ -1,4 +1,4 @@
-"""Start-up, idle memory, and the path's added latency over a direct call."""
+"""Measures start-up time, idle memory and the latency added to a direct call."""
 
 from __future__ import annotations
 
@@ -11,7 +11,14 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-from .demo import SERVICES, call, first_ticket, submit, wait_in_force, wait_serving
+from .demo import (
+    SERVICES,
+    call_service,
+    first_ticket,
+    submit,
+    wait_in_force,
+    wait_serving,
+)
 from .launcher import Lab
 from .process_usage import resident_bytes
 from .weights import make_weights
@@ -21,64 +28,72 @@
 STARTS = 5
 CALLS = 1000
 SETTLE_SECONDS = 3.0
-MOST_MICROS = 60_000_000
+MAX_LATENCY_MICROS = 60_000_000
 
 
 async def measure_overhead() -> dict:
-    """Figures of one run; latencies in milliseconds, memory in bytes."""
+    """Return the figures of one run; latencies in milliseconds, memory in bytes."""
     with tempfile.TemporaryDirectory() as folder:
         lab = Lab(Path(folder))
         await lab.start_platform()
         try:
-            starts = await _starts(lab)
-            path = await _latencies(lab, Path(folder))
+            starts = await _measure_starts(lab)
+            latencies = await _measure_latencies(lab, Path(folder))
         finally:
             await lab.close()
-    return starts | path
+    return starts | latencies
 
 
-async def _starts(lab: Lab) -> dict:
-    entry, agent = [], []
+async def _measure_starts(lab: Lab) -> dict:
+    entry_seconds, agent_seconds = [], []
     for index in range(1, STARTS + 1):
-        entry.append(
-            await _timed(lambda vm=f"entry-{index}": lab.start_entry(vm, SERVICES))
+        entry_seconds.append(
+            await _measure_seconds(
+                lambda vm=f"entry-{index}": lab.start_entry(vm, SERVICES)
+            )
         )
-        agent.append(
-            await _timed(lambda vm=f"order-{index}": lab.start_plain_vm(vm, "orders"))
+        agent_seconds.append(
+            await _measure_seconds(
+                lambda vm=f"order-{index}": lab.start_plain_vm(vm, "orders")
+            )
         )
     await asyncio.sleep(SETTLE_SECONDS)
     pids = {vm: process.process.pid for vm, process in lab.processes.items()}
     return {
-        "entry_start_s": sorted(entry),
-        "agent_start_s": sorted(agent),
+        "entry_start_s": sorted(entry_seconds),
+        "agent_start_s": sorted(agent_seconds),
         "entry_resident": max(resident_bytes(pids[vm]) for vm in pids if "entry" in vm),
         "agent_resident": max(resident_bytes(pids[vm]) for vm in pids if "order" in vm),
     }
 
 
-async def _timed(start: Callable[[], Awaitable]) -> float:
-    begun = time.perf_counter()
+async def _measure_seconds(start: Callable[[], Awaitable]) -> float:
+    started = time.perf_counter()
     await start()
-    return round(time.perf_counter() - begun, 3)
+    return round(time.perf_counter() - started, 3)
 
 
-async def _latencies(lab: Lab, folder: Path) -> dict:
+async def _measure_latencies(lab: Lab, folder: Path) -> dict:
     digest = lab.publish(*make_weights("drafter", "v1", 8, 4096, 0))
     await lab.start_engine_vm("draft-1", "drafting")
-    plain = next(iter(lab.plains))
-    lab.plains[plain].seconds = 0.0
-    base = lab.server_addresses[plain]
-    through = lab.processes["entry-1"].http
-    session = aiohttp.ClientSession(f"http://{through}")
-    async with session, aiohttp.ClientSession(base) as direct:
+    plain_vm = next(iter(lab.plains))
+    lab.plains[plain_vm].seconds = 0.0
+    server_address = lab.server_addresses[plain_vm]
+    entry_address = lab.processes["entry-1"].http
+    session = aiohttp.ClientSession(f"http://{entry_address}")
+    async with session, aiohttp.ClientSession(server_address) as direct:
         await submit(session, first_ticket(folder, digest))
         await wait_in_force(session, 1, 1)
         await wait_serving(session, 1 + STARTS)
-        histograms = await _interleaved(
+        histograms = await _measure_interleaved(
             {
-                "direct": lambda key: _direct(direct, key),
-                "repeatable": lambda key: call(session, "orders", "status", key, key),
-                "claimed": lambda key: call(session, "orders", "print", key, key),
+                "direct": lambda key: _call_directly(direct, key),
+                "repeatable": lambda key: call_service(
+                    session, "orders", "status", key, key
+                ),
+                "claimed": lambda key: call_service(
+                    session, "orders", "print", key, key
+                ),
             }
         )
     return {
@@ -89,21 +104,25 @@
     }
 
 
-async def _interleaved(
+async def _measure_interleaved(
     calls: dict[str, Callable[[str], Awaitable]],
 ) -> dict[str, HdrHistogram]:
-    """Latencies of each kind of call, taken in turn so that all see one machine."""
-    found = {name: HdrHistogram(1, MOST_MICROS, 3) for name in calls}
+    """Return the latencies of each kind of call.
+
+    The kinds alternate, so that all of them are measured under the same conditions of
+    the machine.
+    """
+    histograms = {name: HdrHistogram(1, MAX_LATENCY_MICROS, 3) for name in calls}
     for index in range(CALLS):
-        for name, make in calls.items():
-            begun = time.perf_counter()
-            await make(f"{name}-{index}")
-            found[name].record_value(int((time.perf_counter() - begun) * 1e6))
-    return found
+        for name, send in calls.items():
+            started = time.perf_counter()
+            await send(f"{name}-{index}")
+            histograms[name].record_value(int((time.perf_counter() - started) * 1e6))
+    return histograms
 
 
-async def _direct(session: aiohttp.ClientSession, key: str) -> None:
+async def _call_directly(session: aiohttp.ClientSession, key: str) -> None:
     headers = {"x-attempt": key, "idempotency-key": key}
     req = session.post("/v1/calls/status", data=key.encode(), headers=headers)
-    async with req as answer:
-        await answer.read()
+    async with req as response:
+        await response.read()
