--- a/packages/wasabideck_lab/wasabideck_lab/burst_ablation.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_ablation.py
@@ -55,26 +55,35 @@
     return evolve(load, phases=phases)
 
 
+# The keys name the mechanism that is switched off, and are printed.
 SWITCHES: Mapping[str, Switch] = {
     "nothing": Switch(),
     "draws: all compared": Switch(placement, "DRAWN", 99),
     "draws: one": Switch(placement, "DRAWN", 1),
+    # The decay of reported loads with their age.
     "fading of what was told": Switch(placement, "FADING_SECONDS", 1e6),
+    # The allowance for requests that competing entries send at the same time.
     "herd": Switch(placement, "HERD_PART", 0.0),
     "own region first": Switch(placement, "FAR_PART", 0.0),
     "unread prompts": Switch(placement, "UNREAD_WEIGHT", 0.0),
+    # The limit on requests that are counted as in time.
     "not ahead of two slots": Switch(placement, "EAGER_PART", 9.0),
     "limit of queues": Switch(placement, "FULL_PART", 9.0),
+    # The limit on the share of requests that are sent ahead of others.
     "sent ahead (all are)": Switch(FreshShare, "draw", _always),
+    # The limit on late requests that are sent at the same time.
     "late ones in turn": Switch(LateLane, "has_room", _always),
+    # The shorter interval between engine reports.
     "news ten times a second": Switch(
         change_load=lambda load: evolve(
             load, report_interval_seconds=PREVIOUS_REPORT_INTERVAL_SECONDS
         )
     ),
+    # The migration of running streams off an engine that is about to swap.
     "streams leave a swap": Switch(
         change_load=lambda load: evolve(load, drain_seconds=NO_DRAIN_LIMIT_SECONDS)
     ),
+    # The swaps in waves: without them, all engines swap simultaneously.
     "waves": Switch(change_load=_swap_simultaneously),
 }
 
--- a/packages/wasabideck_lab/wasabideck_lab/burst_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_command.py
@@ -22,7 +22,7 @@
 
 
 def _swap_delays(engines: int, spare_seconds: float) -> tuple[float, ...]:
-    """Return when each engine stops for a swap, as the agents of a rollout decide.
+    """Return when each engine stops for a swap, in seconds, as its agent decides.
 
     Parameters
     ----------
--- a/packages/wasabideck_lab/wasabideck_lab/burst_model.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_model.py
@@ -22,7 +22,15 @@
 
 from .engine_model import Draft, Engine, EngineCosts
 
-__all__ = ["MODEL", "BurstModel", "DraftKind", "EntryPolicy", "Phase", "Result", "play"]
+__all__ = [
+    "MODEL",
+    "BurstModel",
+    "BurstResult",
+    "DraftKind",
+    "EntryPolicy",
+    "Phase",
+    "play",
+]
 
 # Latency that an entry and the links to it and to an engine add to a first event.
 NETWORK_SECONDS = 0.008
@@ -44,12 +52,12 @@
     Attributes
     ----------
     value, late_value : float
-        What a response in time, and a late one, is worth.
+        Mean value of a response in time, and of a late one.
     goal_seconds : float
         Time within which a first event must arrive.
     """
 
-    per_second: float
+    arrivals_per_second: float
     value: float
     late_value: float
     goal_seconds: float
@@ -119,7 +127,7 @@
 
 
 @frozen
-class Result:
+class BurstResult:
     """The outcome of one simulated load.
 
     Attributes
@@ -390,7 +398,7 @@
 
 def play(
     model: BurstModel, make_policy: Callable[[BurstModel, str], EntryPolicy], seed: int
-) -> Result:
+) -> BurstResult:
     """Simulate a load once and return its result."""
     rng = random.Random(seed)
     max_engines = max(phase.engines for phase in model.phases)
@@ -436,7 +444,7 @@
     starts = [phase.starts_at for phase in model.phases] + [model.seconds]
     for phase, until in zip(model.phases, starts[1:], strict=True):
         for kind in model.kinds:
-            rate = kind.per_second * phase.load_ratio
+            rate = kind.arrivals_per_second * phase.load_ratio
             at = phase.starts_at
             while rate > 0 and (at := at + rng.expovariate(rate)) < until:
                 entry = rng.choices(range(model.entries), weights)[0]
@@ -467,15 +475,17 @@
     return mean * exp(rng.gauss(-sigma * sigma / 2, sigma))
 
 
-def _score(model: BurstModel, drafts: list[Draft]) -> Result:
+def _score(model: BurstModel, drafts: list[Draft]) -> BurstResult:
     windows: dict[int, list[float]] = {}
     total_value = earned = in_time = late = 0.0
     late_ratio = model.kinds[0].late_value / model.kinds[0].value
     for draft in drafts:
         credit = 0.0
-        first = inf if draft.first_at is None else draft.first_at - draft.arrived_at
+        first_event_seconds = (
+            inf if draft.first_at is None else draft.first_at - draft.arrived_at
+        )
         if draft.ended:
-            is_in_time = first + NETWORK_SECONDS <= draft.goal_seconds
+            is_in_time = first_event_seconds + NETWORK_SECONDS <= draft.goal_seconds
             is_in_time = (
                 is_in_time
                 and draft.longest_interval_seconds <= model.max_event_interval_seconds
@@ -489,7 +499,7 @@
         window[0] += credit
         window[1] += draft.value
     request_count = max(len(drafts), 1)
-    return Result(
+    return BurstResult(
         earned / total_value,
         in_time / request_count,
         late / request_count,
--- a/packages/wasabideck_lab/wasabideck_lab/burst_policies.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_policies.py
@@ -53,8 +53,8 @@
             # request waits until it may be sent.
             waits = now - since < TURN_PART * self.model.caller_timeout_seconds
             return Place(None, back_in=TURN_SECONDS if waits else None)
-        state = len(backends), now
-        if placement.backend is not None and self._may_send(draft, placement, *state):
+        limits = len(backends), now
+        if placement.backend is not None and self._may_send(draft, placement, *limits):
             return placement
         left = since + TURN_PART * self.model.caller_timeout_seconds - now
         if left > 0 and self.late_limiter.may_wait(attempt, left, now):
@@ -125,7 +125,7 @@
     def choose(
         self, draft: Draft, backends: list[Backend], now: float, rng: random.Random
     ) -> Place:
-        """Return a server with the fewest requests, and break ties at random."""
+        """Return a server with the fewest requests; ties are broken at random."""
         if not backends:
             return Place(None)
         least = min(backend.in_progress for backend in backends)
--- a/packages/wasabideck_lab/wasabideck_lab/engine_model.py
+++ b/packages/wasabideck_lab/wasabideck_lab/engine_model.py
@@ -51,7 +51,7 @@
     goal_seconds : float
         Time within which its first event must arrive.
     value : float
-        What a response in time is worth.
+        Value of a response in time.
     first_at, last_at, longest_interval_seconds : float
         When its first and its latest event arrived, and its longest interval between
         two events, seconds.
