--- a/packages/wasabideck_entry/wasabideck_entry/__main__.py
+++ b/packages/wasabideck_entry/wasabideck_entry/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the entry process and of the operators."""
+"""Command line of the entry process and of the operators' commands."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from .access import operator_client
 from .entry import serve_entry
 from .entry_settings import load_entry_settings
-from .picture import write_picture
+from .picture import write_timeline_page
 from .report import ReportFilter, moment
-from .show import show_fleet, show_json, show_report, show_ticket, show_tickets
+from .show import print_servers, print_ticket, print_tickets, show_json, show_report
 from .timeline import show_timeline
 
 __all__ = ["main"]
@@ -18,7 +18,7 @@
 
 @commands
 class _Tickets:
-    """Tickets: submit, show, list and status."""
+    """Submit, show and list tickets, and show their status."""
 
     def submit(
         self, file: str, access: str = "", entry: str = "", json: bool = False
@@ -28,17 +28,17 @@
         Parameters
         ----------
         file : str
-            The ticket.
+            TOML file of the ticket.
         access : str
             TOML file with the entry's address and the operator's credential;
             WASABIDECK_ACCESS when not given.
         entry : str
-            Base address of another entry than the access file's.
+            Base address of an entry, instead of the one in the access file.
         json : bool
-            Print JSON.
+            Print JSON instead of text.
         """
         ticket = operator_client(access, entry).submit(file)
-        show_json(ticket) if json else show_ticket(ticket)
+        show_json(ticket) if json else print_ticket(ticket)
 
     def show(
         self, number: int, access: str = "", entry: str = "", json: bool = False
@@ -53,17 +53,17 @@
             TOML file with the entry's address and the operator's credential;
             WASABIDECK_ACCESS when not given.
         entry : str
-            Base address of another entry than the access file's.
+            Base address of an entry, instead of the one in the access file.
         json : bool
-            Print JSON.
+            Print JSON instead of text.
         """
         ticket = operator_client(access, entry).get(f"/v1/tickets/{number}")
-        show_json(ticket) if json else show_ticket(ticket)
+        show_json(ticket) if json else print_ticket(ticket)
 
     def status(
         self, number: int, access: str = "", entry: str = "", json: bool = False
     ) -> None:
-        """Show whether a ticket is accepted, and where it is in force.
+        """Show whether a ticket is accepted, and on which VMs it is in effect.
 
         Parameters
         ----------
@@ -73,12 +73,12 @@
             TOML file with the entry's address and the operator's credential;
             WASABIDECK_ACCESS when not given.
         entry : str
-            Base address of another entry than the access file's.
+            Base address of an entry, instead of the one in the access file.
         json : bool
-            Print JSON.
+            Print JSON instead of text.
         """
         ticket = operator_client(access, entry).get(f"/v1/tickets/{number}/status")
-        show_json(ticket) if json else show_ticket(ticket)
+        show_json(ticket) if json else print_ticket(ticket)
 
     def list(self, access: str = "", entry: str = "", json: bool = False) -> None:
         """List the accepted tickets.
@@ -89,17 +89,17 @@
             TOML file with the entry's address and the operator's credential;
             WASABIDECK_ACCESS when not given.
         entry : str
-            Base address of another entry than the access file's.
+            Base address of an entry, instead of the one in the access file.
         json : bool
-            Print JSON.
+            Print JSON instead of text.
         """
         tickets = operator_client(access, entry).get("/v1/tickets")
-        show_json(tickets) if json else show_tickets(tickets)
+        show_json(tickets) if json else print_tickets(tickets)
 
 
 @commands
 class _Commands:
-    """Weights to every VM by numbered tickets, and answers to every caller."""
+    """Serve requests of callers, and deploy weights to VMs by numbered tickets."""
 
     def __init__(self) -> None:
         self.ticket = _Tickets()
@@ -116,7 +116,7 @@
         run_process(lambda stop: serve_entry(cfg, stop))
 
     def check_settings(self, settings: str) -> None:
-        """Check a TOML file of an entry's settings, and do nothing else.
+        """Check a TOML file of an entry's settings without serving.
 
         Parameters
         ----------
@@ -137,7 +137,7 @@
         entry: str = "",
         json: bool = False,
     ) -> None:
-        """Report who got which weights, when, and from where.
+        """Report which weights were delivered to which VMs, when, and from where.
 
         Parameters
         ----------
@@ -146,29 +146,29 @@
         vm : str
             Only deliveries to this VM.
         manifest : str
-            Only deliveries of the manifest whose digest begins so.
+            Only deliveries of manifests whose digest starts with this text.
         since : str
             Only deliveries that were in progress after this time (ISO 8601; UTC
-            unless it names an offset).
+            unless it has an offset).
         until : str
-            Only deliveries that had begun by this time.
+            Only deliveries that had started by this time.
         access : str
             TOML file with the entry's address and the operator's credential;
             WASABIDECK_ACCESS when not given.
         entry : str
-            Base address of another entry than the access file's.
+            Base address of an entry, instead of the one in the access file.
         json : bool
-            Print JSON.
+            Print JSON instead of text.
         """
-        wanted = ReportFilter(
+        report_filter = ReportFilter(
             ticket, vm, manifest, moment("since", since), moment("until", until)
         )
         client = operator_client(access, entry)
-        rows = client.get("/v1/report", wanted.to_query())
+        rows = client.get("/v1/report", report_filter.to_query())
         show_json(rows) if json else show_report(rows)
 
     def status(self, access: str = "", entry: str = "", json: bool = False) -> None:
-        """Show what an entry knows of every backend server.
+        """Show the state of every backend server that an entry uses.
 
         Parameters
         ----------
@@ -176,28 +176,28 @@
             TOML file with the entry's address and the operator's credential;
             WASABIDECK_ACCESS when not given.
         entry : str
-            Base address of another entry than the access file's.
+            Base address of an entry, instead of the one in the access file.
         json : bool
-            Print JSON.
+            Print JSON instead of text.
         """
         servers = operator_client(access, entry).get("/v1/fleet")
-        show_json(servers) if json else show_fleet(servers)
+        show_json(servers) if json else print_servers(servers)
 
     def timeline(self, *files: str, picture: str = "", json: bool = False) -> None:
-        """Merge the processes' event files into one order of cause and effect.
+        """Merge the event files of several processes into one timeline in causal order.
 
         Parameters
         ----------
         files : str
             Event files.
         picture : str
-            Write a page with a picture to this file instead, to open in a browser.
+            Write the timeline to this file instead, as an HTML page.
         json : bool
             Print JSON lines.
         """
         if not files:
-            raise CommandError("name one or more event files")
-        write_picture(files, picture) if picture else show_timeline(files, json)
+            raise CommandError("at least one event file is required")
+        write_timeline_page(files, picture) if picture else show_timeline(files, json)
 
 
 def main() -> None:
--- a/packages/wasabideck_entry/wasabideck_entry/access.py
+++ b/packages/wasabideck_entry/wasabideck_entry/access.py
@@ -1,4 +1,4 @@
-"""How an operator's command reaches an entry: address and credential."""
+"""The entry's address and the credential that an operator's command uses."""
 
 from __future__ import annotations
 
@@ -16,38 +16,41 @@
 
 __all__ = ["operator_client"]
 
-ACCESS = "WASABIDECK_ACCESS"
+ACCESS_VARIABLE = "WASABIDECK_ACCESS"
 
 
 def operator_client(
     access: str, entry: str, environ: Mapping[str, str] = os.environ
 ) -> OperatorClient:
-    """Client under an access file; ``entry`` replaces the address in it.
+    """Return a client with the settings of an access file.
 
-    The credential is in a file, never an argument: a process's arguments are
-    shown to every user of the operator's machine.
+    ``entry`` replaces the address in the file. The credential is read from the file
+    and never an argument: every user of the operator's machine can see the arguments
+    of a process.
 
     Raises
     ------
     CommandError
-        No access file is named, or the other address is wrong.
+        No access file is given, or ``entry`` is not a valid address.
     SettingsError
-        The access file is wrong.
+        The access file is invalid.
     """
-    path = access or environ.get(ACCESS, "")
+    path = access or environ.get(ACCESS_VARIABLE, "")
     if not path:
-        raise CommandError(f"no access file: give --access FILE or set {ACCESS}")
+        raise CommandError(
+            f"no access file: use --access FILE or set {ACCESS_VARIABLE}"
+        )
     cfg = load_settings(path, AccessSettings)
-    return OperatorClient(_at(cfg, entry) if entry else cfg)
+    return OperatorClient(_with_entry(cfg, entry) if entry else cfg)
 
 
-def _at(cfg: AccessSettings, entry: str) -> AccessSettings:
-    """Settings with another address, which is checked as the file's own is."""
+def _with_entry(cfg: AccessSettings, entry: str) -> AccessSettings:
+    """Return settings with another address, checked like the address in the file."""
     try:
-        moved = evolve(cfg, entry=entry)
+        changed = evolve(cfg, entry=entry)
     except WrongValue as exc:
         raise CommandError(f"entry = {entry!r}: {exc}") from None
     for check in CHECKS[AccessSettings]:
-        if wrong := check(moved):
+        if wrong := check(changed):
             raise CommandError(f"entry = {entry!r}: {wrong.why}")
-    return moved
+    return changed
--- a/packages/wasabideck_entry/wasabideck_entry/caller_limits.py
+++ b/packages/wasabideck_entry/wasabideck_entry/caller_limits.py
@@ -1,4 +1,4 @@
-"""How many connections each organisation holds at this entry."""
+"""Limits the connections of each organisation at this entry."""
 
 from __future__ import annotations
 
@@ -13,41 +13,50 @@
 
 
 class TooManyConnections(WasabideckError):
-    """The organisation holds as many connections here as it may."""
+    """The organisation has as many connections to this entry as it is allowed."""
 
     status = 429
     retry_after = 1.0
 
-    def __init__(self, organisation: str, most: int):
-        super().__init__(f"{organisation} holds {most} connections, its most")
+    def __init__(self, organisation: str, limit: int):
+        super().__init__(
+            f"{organisation} holds {limit} connections, the maximum allowed"
+        )
         self.organisation = organisation
 
 
 @define
 class HeldConnections:
-    """Open connections by the organisation of their newest request.
-
-    A connection carries one request at a time, so that this bounds the requests in
-    progress as well: an organisation that opens ever more cannot take the memory
-    and the descriptors that the others need.
+    """Counts open connections by the organisation of their latest request.
+
+    A connection carries one request at a time, so the limit also bounds the requests
+    in progress. An organisation that opens ever more connections cannot use up the
+    memory and the file descriptors that other organisations need.
+
+    Attributes
+    ----------
+    limits : mapping of str to int
+        Maximum number of connections by organisation.
+    held : Counter
+        Number of open connections by organisation.
     """
 
-    most: Mapping[str, int]
+    limits: Mapping[str, int]
     held: Counter = field(factory=Counter)
 
-    def enter(self, connection: SimpleNamespace, who: str) -> None:
-        """Count a connection as its request's; raises ``TooManyConnections``."""
+    def enter(self, connection: SimpleNamespace, organisation: str) -> None:
+        """Count a connection for an organisation; raises ``TooManyConnections``."""
         self.leave(connection)
-        most = self.most.get(who)
-        if most is None:
+        limit = self.limits.get(organisation)
+        if limit is None:
             return
-        if self.held[who] >= most:
-            raise TooManyConnections(who, most)
-        self.held[who] += 1
-        connection.organisation = who
+        if self.held[organisation] >= limit:
+            raise TooManyConnections(organisation, limit)
+        self.held[organisation] += 1
+        connection.organisation = organisation
 
     def leave(self, connection: SimpleNamespace) -> None:
-        """Count a connection no longer; safe to repeat."""
-        if who := getattr(connection, "organisation", None):
-            self.held[who] -= 1
+        """Stop counting a connection; safe to repeat."""
+        if organisation := getattr(connection, "organisation", None):
+            self.held[organisation] -= 1
             connection.organisation = None
--- a/packages/wasabideck_entry/wasabideck_entry/calls.py
+++ b/packages/wasabideck_entry/wasabideck_entry/calls.py
@@ -1,4 +1,4 @@
-"""Carries one request to a backend server, and its answer back."""
+"""Sends a caller's request to backend servers and streams the response back."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from wasabideck_wire.convert import outcome_from
 
 from .fleet import Fleet
-from .resolve import Resolver, barring
-from .streams import SILENCE_SECONDS, AttemptStream
+from .resolve import Resolver, barring_claim
+from .streams import RECEIVE_TIMEOUT_SECONDS, AttemptStream
 from .suspects import Suspects
 
 __all__ = ["Call", "Caller", "Ended", "Part", "Started"]
 
-MOST_ATTEMPTS = 4
-# An answer that is longer cannot be gone on with at another server.
-PREFIX_BYTES = 1 << 20
+MAX_ATTEMPTS = 4
+# A longer response cannot be resumed on another server.
+MAX_RESUMABLE_BYTES = 1 << 20
 
 
 @frozen
@@ -38,10 +38,11 @@
     Attributes
     ----------
     again : bool
-        Whether the caller sent this key before and does not know what became of it.
+        Whether the caller sent this idempotency key before and does not know the
+        outcome.
     """
 
-    request: str
+    request_id: str
     organisation: str
     service: str
     route: str
@@ -56,7 +57,7 @@
 
 @frozen
 class Started:
-    """The answer begins; it comes from these weights, by this ticket."""
+    """The start of a response, with the weights and the ticket that it comes from."""
 
     ticket: int
     version: str
@@ -65,74 +66,81 @@
 
 @frozen
 class Part:
-    """A piece of the answer."""
+    """One event of a response's stream."""
 
     data: bytes
 
 
 @frozen
 class Ended:
-    """The request's outcome, and nothing after it."""
+    """The request's outcome; the last item of a response."""
 
     outcome: Outcome
 
 
-Answer = Started | Part | Ended
+ResponseItem = Started | Part | Ended
 
 
 @define
 class _Progress:
-    """What the caller has of its answer, and what its tries may have left behind.
+    """What the caller has received so far, and what earlier attempts may have done.
 
     Attributes
     ----------
-    ran : bool
-        Whether some try may have run.
+    event_count : int
+        Number of stream events that the caller was sent.
+    data : bytearray
+        Contents of these events, as far as they are kept for a resumption.
+    tried_vms : set of str
+        Servers to which an attempt was sent.
+    may_have_run : bool
+        Whether an earlier attempt may have run.
     """
 
     started: Started | None = None
-    pieces: int = 0
-    text: bytearray = field(factory=bytearray)
-    tried: set[str] = field(factory=set)
-    ran: bool = False
+    event_count: int = 0
+    data: bytearray = field(factory=bytearray)
+    tried_vms: set[str] = field(factory=set)
+    may_have_run: bool = False
 
-    def take(self, item: Started | Part) -> bool:
-        """Take an item in; whether the caller has to be given it."""
+    def record(self, item: Started | Part) -> bool:
+        """Record an item; return whether it has to be sent to the caller."""
         if isinstance(item, Started):
-            # Another server that goes on with the answer serves the same manifest.
-            first, self.started = not self.pieces, item
+            # A server that resumes the response serves the same manifest, so the caller
+            # is not sent its start again.
+            first, self.started = not self.event_count, item
             return first
-        self.pieces += 1
-        if len(self.text) <= PREFIX_BYTES:
-            self.text += item.data
+        self.event_count += 1
+        if len(self.data) <= MAX_RESUMABLE_BYTES:
+            self.data += item.data
         return True
 
     @property
-    def manifest(self) -> str:
-        """Weights that the rest has to come from; empty while any will do."""
-        return self.started.manifest if self.pieces and self.started else ""
+    def required_manifest(self) -> str:
+        """Manifest that must produce the remaining events; empty if any may."""
+        return self.started.manifest if self.event_count and self.started else ""
 
     @property
-    def can_go_on(self) -> bool:
-        """Whether another server could go on from here."""
-        return not self.pieces or (
-            bool(self.manifest) and len(self.text) <= PREFIX_BYTES
+    def can_resume(self) -> bool:
+        """Whether another server could resume the response."""
+        return not self.event_count or (
+            bool(self.required_manifest) and len(self.data) <= MAX_RESUMABLE_BYTES
         )
 
-    def judge(self, outcome: Outcome) -> Outcome:
-        """The outcome of the whole request, given that of its last try.
+    def request_outcome(self, outcome: Outcome) -> Outcome:
+        """Return the outcome of the whole request, given that of its last attempt.
 
-        A last try that was refused says nothing of an earlier one that may have run,
-        nor of pieces that went out.
+        If the last attempt was refused, an earlier one may still have run, and events
+        may already have been sent to the caller.
         """
-        if isinstance(outcome, NotRun) and (self.ran or self.pieces):
+        if isinstance(outcome, NotRun) and (self.may_have_run or self.event_count):
             return Unknown(outcome.failure, outcome.retry_after)
         return outcome
 
 
 @define
 class Caller:
-    """Sends calls to servers, and tries others within a budget."""
+    """Sends calls to servers, and retries on other servers within a retry budget."""
 
     fleet: Fleet
     channels: Channels
@@ -143,73 +151,87 @@
     resolver: Resolver
     budget: RetryBudget = field(factory=RetryBudget)
     clock: Callable[[], float] = time.monotonic
-    silence: float = SILENCE_SECONDS
-    _cancels: set[asyncio.Task] = field(factory=set)
+    silence: float = RECEIVE_TIMEOUT_SECONDS
+    _cancel_tasks: set[asyncio.Task] = field(factory=set)
 
-    async def run(self, call: Call) -> AsyncIterator[Answer]:
-        """The answer of a call; its last item is ``Ended``."""
+    async def run(self, call: Call) -> AsyncIterator[ResponseItem]:
+        """Return the response to a call; its last item is ``Ended``."""
         self.budget.earn()
         progress = _Progress()
-        outcome: Outcome = NotRun(Failure("NoServer", "no server can take it"), 1.0)
-        name = self.suspects.name(call)
-        for _ in range(MOST_ATTEMPTS):
-            if self.suspects.refused(name):
-                outcome = NotRun(Failure("Quarantined", "it crashes its servers"))
+        outcome: Outcome = NotRun(
+            Failure("NoServer", "no server is available for the request"), 1.0
+        )
+        fingerprint = self.suspects.fingerprint_of(call)
+        for _ in range(MAX_ATTEMPTS):
+            if self.suspects.is_quarantined(fingerprint):
+                outcome = NotRun(
+                    Failure(
+                        "Quarantined", "the request crashed the servers that ran it"
+                    )
+                )
                 break
-            server = self._pick(call, progress, name)
-            if server is None or not self._affords(progress, outcome):
+            server = self._choose_server(call, progress, fingerprint)
+            if server is None or not self._has_retry_budget(progress, outcome):
                 break
-            progress.tried.add(server.vm)
-            async with aclosing(self._attempt(call, server, progress, name)) as items:
+            progress.tried_vms.add(server.vm)
+            async with aclosing(
+                self._run_attempt(call, server, progress, fingerprint)
+            ) as items:
                 async for item in items:
                     if isinstance(item, Ended):
                         outcome = item.outcome
-                    elif progress.take(item):
+                    elif progress.record(item):
                         yield item
-            progress.ran |= isinstance(outcome, Unknown)
+            progress.may_have_run |= isinstance(outcome, Unknown)
             self.fleet.observe(server, outcome)
-            await self.suspects.hear(name, outcome)
-            if not self._goes_on(call, progress, outcome):
+            await self.suspects.record_outcome(fingerprint, outcome)
+            if not self._may_retry(call, progress, outcome):
                 break
-        yield Ended(_as_resent(call, progress.judge(outcome)))
+        yield Ended(_outcome_for_retry(call, progress.request_outcome(outcome)))
 
     async def settled(self, timeout: float) -> None:
-        """Wait for the cancels of calls whose callers went away."""
-        if self._cancels:
-            await asyncio.wait(self._cancels, timeout=timeout)
-
-    def _pick(self, call: Call, progress: _Progress, name: str) -> Server | None:
-        servers = self.fleet.candidates(call.service, progress.tried)
-        if progress.manifest:
-            servers = [s for s in servers if s.manifest == progress.manifest]
-        servers = self.suspects.narrow(name, servers)
+        """Wait for the cancellation of calls whose callers have disconnected."""
+        if self._cancel_tasks:
+            await asyncio.wait(self._cancel_tasks, timeout=timeout)
+
+    def _choose_server(
+        self, call: Call, progress: _Progress, fingerprint: str
+    ) -> Server | None:
+        servers = self.fleet.candidates(call.service, progress.tried_vms)
+        if progress.required_manifest:
+            servers = [s for s in servers if s.manifest == progress.required_manifest]
+        servers = self.suspects.eligible_servers(fingerprint, servers)
         if not servers:
             return None
-        ask = Ask(prefix_name(call.body), self.fleet.region)
-        return self.choose(servers, ask, self.clock(), self.rng)
+        routing_request = Ask(prefix_name(call.body), self.fleet.region)
+        return self.choose(servers, routing_request, self.clock(), self.rng)
 
-    def _affords(self, progress: _Progress, outcome: Outcome) -> bool:
-        first = not progress.tried
+    def _has_retry_budget(self, progress: _Progress, outcome: Outcome) -> bool:
+        first = not progress.tried_vms
         return first or costs_nothing(outcome) or self.budget.spend()
 
-    def _goes_on(self, call: Call, progress: _Progress, outcome: Outcome) -> bool:
-        in_time = self.clock() < call.deadline
-        return in_time and progress.can_go_on and may_retry(outcome, call.repeatable)
+    def _may_retry(self, call: Call, progress: _Progress, outcome: Outcome) -> bool:
+        before_deadline = self.clock() < call.deadline
+        return (
+            before_deadline
+            and progress.can_resume
+            and may_retry(outcome, call.repeatable)
+        )
 
-    async def _attempt(
-        self, call: Call, server: Server, progress: _Progress, name: str
-    ) -> AsyncIterator[Answer]:
+    async def _run_attempt(
+        self, call: Call, server: Server, progress: _Progress, fingerprint: str
+    ) -> AsyncIterator[ResponseItem]:
         attempt = uuid.UUID(int=self.rng.getrandbits(128)).hex
         self.events.emit(
-            "attempt.sent", request=call.request, attempt=attempt, server=server.vm
+            "attempt.sent", request=call.request_id, attempt=attempt, server=server.vm
         )
         req = _run_request(call, attempt, self.clock())
-        req.alone = self.suspects.alone(name)
-        if progress.pieces:
-            req.only_manifest = progress.manifest
-            req.resume_from = progress.pieces
-            req.prefix = bytes(progress.text)
-        claim = barring(
+        req.alone = self.suspects.must_run_alone(fingerprint)
+        if progress.event_count:
+            req.only_manifest = progress.required_manifest
+            req.resume_from = progress.event_count
+            req.prefix = bytes(progress.data)
+        bar = barring_claim(
             call.organisation,
             call.idempotency_key,
             call.body_digest,
@@ -222,7 +244,7 @@
             call.deadline,
             self.channels,
             self.events,
-            lambda: self.resolver.resolve(claim),
+            lambda: self.resolver.resolve(bar),
             self.clock,
             self.silence,
         )
@@ -232,24 +254,24 @@
             async with aclosing(stream.run()) as events:
                 async for event in events:
                     finished = event.HasField("final")
-                    yield _answer(event)
+                    yield _response_item(event)
         finally:
             server.in_progress -= 1
             if not finished and stream.sent:
-                self._cancel_soon(stream)
+                self._start_cancel(stream)
 
-    def _cancel_soon(self, stream: AttemptStream) -> None:
-        """Cancel what a caller that went away has left, without holding it up."""
+    def _start_cancel(self, stream: AttemptStream) -> None:
+        """Cancel the attempt of a disconnected caller in the background."""
         task = asyncio.create_task(stream.cancel())
-        self._cancels.add(task)
-        task.add_done_callback(self._cancels.discard)
+        self._cancel_tasks.add(task)
+        task.add_done_callback(self._cancel_tasks.discard)
 
 
-def _as_resent(call: Call, outcome: Outcome) -> Outcome:
-    """Outcome for a caller that sent this key before.
+def _outcome_for_retry(call: Call, outcome: Outcome) -> Outcome:
+    """Return the outcome for a caller that may have sent this key before.
 
-    Its earlier try may have run although this one did not, unless this one held the
-    key's claim, under which nothing else can have run.
+    The caller's earlier request may have run although this one did not, unless this
+    one held the key's bar: no other attempt can have run under a held bar.
     """
     if not call.again or call.repeatable or not isinstance(outcome, NotRun):
         return outcome
@@ -259,7 +281,7 @@
 def _run_request(call: Call, attempt: str, now: float) -> pb.RunRequest:
     return pb.RunRequest(
         attempt=attempt,
-        request=call.request,
+        request=call.request_id,
         organisation=call.organisation,
         service=call.service,
         route=call.route,
@@ -272,7 +294,7 @@
     )
 
 
-def _answer(event: pb.RunEvent) -> Answer:
+def _response_item(event: pb.RunEvent) -> ResponseItem:
     if event.HasField("started"):
         started = event.started
         return Started(started.ticket, started.version, started.manifest)
--- a/packages/wasabideck_entry/wasabideck_entry/connections.py
+++ b/packages/wasabideck_entry/wasabideck_entry/connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections: which have a request in progress, and which are idle."""
+"""Detection of callers' connections that are idle or have a request in progress."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 
 def in_progress(server: AsyncioServer) -> int:
-    """Requests that are being received, run, or answered to the last byte.
+    """Return the number of requests being received, run, or responded to.
 
-    sanic's response hooks run when a streamed response begins, and not at all for
-    one that is broken off, so a count kept by them lets a stop cut streams short.
+    A request counts until the last byte of its response is sent. sanic's response
+    hooks can't be used for the count: they run when a streamed response begins, and
+    not at all for an aborted one, so that a shutdown would cut streams short.
     """
-    return sum(not _idle(conn) for conn in server.connections)
+    return sum(not _is_idle(conn) for conn in server.connections)
 
 
 def close_idle(server: AsyncioServer) -> None:
-    """Close kept-alive connections on which nothing is in progress."""
+    """Close the keep-alive connections that have no request in progress."""
     for conn in list(server.connections):
-        if _idle(conn):
+        if _is_idle(conn):
             conn.close()
 
 
-def _idle(conn: HttpProtocol) -> bool:
-    # Bytes in the buffer are a request that its connection's task has yet to see.
+def _is_idle(conn: HttpProtocol) -> bool:
+    # Bytes in the buffer belong to a request that the connection's task has not read.
     stage = Stage.IDLE if conn.http is None else conn.http.stage
     return stage is Stage.IDLE and not conn.recv_buffer
--- a/packages/wasabideck_entry/wasabideck_entry/entry.py
+++ b/packages/wasabideck_entry/wasabideck_entry/entry.py
@@ -1,4 +1,4 @@
-"""The entry process: all of its parts, put together."""
+"""The entry process: creates, connects and runs its components."""
 
 from __future__ import annotations
 
@@ -36,142 +36,156 @@
 from .calls import Caller
 from .connections import in_progress
 from .fleet import Fleet
-from .front import Front, add_caller_routes
-from .listener import Listener, close_http, make_app, serve_http
-from .operators import Operators, add_operator_routes
+from .front import CallerEndpoint, add_caller_routes
+from .listener import HttpOptions, close_http, make_app, serve_http
+from .operators import OperatorEndpoint, add_operator_routes
 from .pushes import Pusher
 from .resolve import Resolver
 from .suspects import Suspects
-from .watching import Watching
+from .watching import StatusWatcher
 
 __all__ = ["serve_entry"]
 
-HEAD_SECONDS = 0.5
-HEAD_PATIENCE = 2.0
-COMPARE_SECONDS = 1.0
-DRAIN_SECONDS = 60.0
-READINESS_SECONDS = 1.0
-CANCELS_SECONDS = 2.0
+HEAD_POLL_INTERVAL_SECONDS = 0.5
+MAX_HEAD_AGE_SECONDS = 2.0
+SYNC_INTERVAL_SECONDS = 1.0
+DRAIN_TIMEOUT_SECONDS = 60.0
+READINESS_DELAY_SECONDS = 1.0
+CANCEL_WAIT_SECONDS = 2.0
 
 
 @define
 class Entry:
-    """State of one entry process."""
+    """Components and state of one entry process."""
 
     cfg: EntrySettings
     events: Events
     channels: Channels
     platform: Platform
-    spread: Spread
+    ticket_replication: Spread
     peers: PeersService
     pusher: Pusher
     fleet: Fleet
     caller: Caller
     metrics: Metrics
-    leaving: bool = False
+    shutting_down: bool = False
     events_lost: Callable[[], int] = int
-    poll_at: float = 0.0
+    next_head_poll_at: float = 0.0
     http: AsyncioServer | None = None
 
     async def read_members(self) -> None:
-        """Read the platform's list; keep the last one when it is down."""
+        """Read the platform's list; keep the last one while it is unavailable."""
         try:
-            self.fleet.take_members(await self.platform.members.read(time.monotonic()))
+            self.fleet.update_members(
+                await self.platform.members.read(time.monotonic())
+            )
         except PlatformUnavailable as exc:
             self.events.emit("members.unavailable", why=str(exc))
 
     async def poll_head(self) -> None:
-        """Read the table's head, where this entry has to.
+        """Read the table's head, if this entry is one that must.
 
-        A few entries of each data centre do, and tell the others. One that heard
-        nothing of the head for a while reads for itself, at jittered times, so that
-        all together stay far below the table's limit on reads.
+        A few entries of each data centre read it and send it to the others. An entry
+        that has not received a recent head reads it itself, at jittered times, so that
+        all entries together stay far below the table's limit on reads.
         """
         now = time.monotonic()
         ranked = polls(self.cfg.process.vm, self._data_centre, self.fleet.members)
         if all(member.vm != self.cfg.process.vm for member in ranked):
-            if self.spread.head_age() < HEAD_PATIENCE or now < self.poll_at:
+            if (
+                self.ticket_replication.head_age() < MAX_HEAD_AGE_SECONDS
+                or now < self.next_head_poll_at
+            ):
                 return
-        self.poll_at = now + HEAD_PATIENCE * (1 + self.caller.rng.random())
+        self.next_head_poll_at = now + MAX_HEAD_AGE_SECONDS * (
+            1 + self.caller.rng.random()
+        )
         try:
-            await self.spread.poll(self.platform.table)
+            await self.ticket_replication.poll(self.platform.table)
         except PlatformUnavailable as exc:
             self.events.emit("table.unavailable", why=str(exc))
 
-    async def compare(self) -> None:
-        """Compare state with one entry that reads the head, and with any other."""
+    async def sync_with_peers(self) -> None:
+        """Exchange state with one entry that reads the head and one random entry."""
         rng = self.caller.rng
-        me = self.cfg.process.vm
-        others = self.fleet.entries()
-        ranked = polls(me, self._data_centre, self.fleet.members)
-        near = [m for m in ranked if m.vm != me and m.address]
-        asked = {m.vm: m for m in (*rng.sample(near, min(1, len(near))),)}
-        asked |= {m.vm: m for m in rng.sample(others, min(1, len(others)))}
-        await asyncio.gather(*(self._sync(m, len(others)) for m in asked.values()))
-
-    async def _sync(self, member: Member, listed: int) -> None:
+        own_vm = self.cfg.process.vm
+        others = self.fleet.other_entries()
+        ranked = polls(own_vm, self._data_centre, self.fleet.members)
+        pollers = [m for m in ranked if m.vm != own_vm and m.address]
+        peers_to_sync = {m.vm: m for m in (*rng.sample(pollers, min(1, len(pollers))),)}
+        peers_to_sync |= {m.vm: m for m in rng.sample(others, min(1, len(others)))}
+        await asyncio.gather(
+            *(self._sync_with(m, len(others)) for m in peers_to_sync.values())
+        )
+
+    async def _sync_with(self, member: Member, entry_count: int) -> None:
         channel = self.channels.get(member.address)
         try:
-            await self.spread.sync(member.vm, channel, listed)
+            await self.ticket_replication.sync(member.vm, channel, entry_count)
         except LINK_FAILURES:
             self.channels.drop(member.address, channel)
 
-    async def tell_entries(self) -> None:
-        """Compare with the other entries at once, so that they hear of a crash."""
-        others = self.fleet.entries()
-        await asyncio.gather(*(self._sync(m, len(others)) for m in others))
+    async def sync_with_all_entries(self) -> None:
+        """Exchange state with all other entries now, so that they learn of a crash."""
+        others = self.fleet.other_entries()
+        await asyncio.gather(*(self._sync_with(m, len(others)) for m in others))
 
     @property
     def _data_centre(self) -> str:
         return self.cfg.process.data_centre
 
     def ready(self) -> bool:
-        """Whether new requests may come here."""
-        return self.spread.heard and not self.leaving
+        """Whether this entry accepts new requests."""
+        return self.ticket_replication.heard and not self.shutting_down
 
-    def observe(self) -> Metrics:
-        """Metrics as they are now."""
+    def current_metrics(self) -> Metrics:
+        """Update the metrics that are read on demand, and return all metrics."""
         self.metrics.in_progress.set({}, self.in_progress)
         self.metrics.events_lost.set({}, self.events_lost())
         return self.metrics
 
     @property
     def in_progress(self) -> int:
-        """Requests that callers have here, streamed answers to their last byte."""
+        """Callers' requests in progress, including responses being streamed."""
         return in_progress(self.http) if self.http else 0
 
     def status(self, req: pb.StatusRequest) -> pb.StatusReply:
-        """What this entry tells other processes of itself."""
+        """Return the status that this entry reports to other processes."""
         return pb.StatusReply(
             vm=self.cfg.process.vm,
-            leaving=self.leaving,
+            leaving=self.shutting_down,
             in_progress=self.in_progress,
         )
 
 
 async def serve_entry(cfg: EntrySettings, stop: asyncio.Event) -> None:
-    """Serve until ``stop`` is set, then finish what is in progress."""
-    events, file = open_events(cfg.process.vm, cfg.process.events)
+    """Serve until ``stop`` is set, then finish the requests in progress."""
+    events, event_file = open_events(cfg.process.vm, cfg.process.events)
     keys = Keys(cfg.tls) if cfg.tls else None
     async with aiohttp.ClientSession() as session:
         entry = _assemble(cfg, events, session, keys)
-        entry.events_lost = lambda: file.lost
+        entry.events_lost = lambda: event_file.lost
         events.listeners.append(entry.metrics.count)
         server = InnerServer([entry.peers])
         observe_clock(server, events.clock)
         host, port = split_address(cfg.process.inner)
         with binding(cfg.process.inner):
             await server.start(host, port, ssl=keys and keys.inner_server)
-        inner = server._server.sockets[0].getsockname()
+        inner_address = server._server.sockets[0].getsockname()
         await entry.read_members()
-        listener = Listener(cfg, entry.ready, entry.observe, keys)
-        # A balancer may send requests from now on: they need servers to go to.
-        await entry.fleet.ask_all()
-        app = _app(entry, listener)
-        entry.http, address = await serve_http(app, listener)
+        options = HttpOptions(cfg, entry.ready, entry.current_metrics, keys)
+        # A load balancer may send requests as soon as HTTP is served, so the servers'
+        # status must be known before.
+        await entry.fleet.query_all()
+        app = _make_entry_app(entry, options)
+        entry.http, address = await serve_http(app, options)
         events.emit("process.ready", kind=ENTRY)
-        announce_ready(vm=cfg.process.vm, inner=f"{inner[0]}:{inner[1]}", http=address)
-        loops = [*_loops(entry), *reread_keys(keys, events)]
+        announce_ready(
+            vm=cfg.process.vm,
+            inner=f"{inner_address[0]}:{inner_address[1]}",
+            http=address,
+        )
+        loops = [*_background_loops(entry), *reread_keys(keys, events)]
         tasks = [asyncio.create_task(loop) for loop in loops]
         await first_of(stop, tasks)
         await _drain(entry)
@@ -190,20 +204,22 @@
     channels = Channels(events.clock, keys and keys.inner_client)
     fleet = Fleet(cfg.process.vm, channels, cfg.process.region)
     rng = random.Random(f"{cfg.seed}/{cfg.process.vm}/{time.time_ns()}")
-    spread = Spread(cfg.process.vm, events)
+    ticket_replication = Spread(cfg.process.vm, events)
     platform = connect_platform(cfg.platform, session)
-    suspects = Suspects(spread.quarantine, wall=events.wall)
+    suspects = Suspects(ticket_replication.quarantine, wall=events.wall)
     resolver = Resolver(platform.table)
     entry: Entry
-    peers = PeersService(spread, lambda req: entry.status(req))
-    pusher = Pusher(cfg.process.data_centre, spread, peers, fleet, channels, rng)
-    spread.listen(pusher.note)
+    peers = PeersService(ticket_replication, lambda req: entry.status(req))
+    pusher = Pusher(
+        cfg.process.data_centre, ticket_replication, peers, fleet, channels, rng
+    )
+    ticket_replication.listen(pusher.enqueue)
     entry = Entry(
         cfg,
         events,
         channels,
         platform,
-        spread,
+        ticket_replication,
         peers,
         pusher,
         fleet,
@@ -212,56 +228,57 @@
         ),
         Metrics(),
     )
-    suspects.tell = entry.tell_entries
+    suspects.notify_entries = entry.sync_with_all_entries
     return entry
 
 
-def _loops(entry: Entry) -> list:
-    every = repeating(entry.events)
+def _background_loops(entry: Entry) -> list:
+    run_every = repeating(entry.events)
     return [
-        every(entry.cfg.platform.poll_seconds, entry.read_members),
-        every(HEAD_SECONDS, entry.poll_head),
-        every(COMPARE_SECONDS, entry.compare),
+        run_every(entry.cfg.platform.poll_seconds, entry.read_members),
+        run_every(HEAD_POLL_INTERVAL_SECONDS, entry.poll_head),
+        run_every(SYNC_INTERVAL_SECONDS, entry.sync_with_peers),
         entry.pusher.run(),
-        Watching(entry.fleet, entry.caller.rng).run(),
+        StatusWatcher(entry.fleet, entry.caller.rng).run(),
     ]
 
 
 async def _drain(entry: Entry) -> None:
-    """Turn readiness off, take no more callers, and finish what is in progress.
+    """Report unready, stop accepting connections, and finish requests in progress.
 
-    The socket listens on until the balancer has seen that this entry is not ready:
-    a caller that it still sends here would otherwise meet a refused connection.
+    The socket continues to listen until the load balancer has seen that this entry is
+    not ready. Otherwise the connections that the balancer still sends here would be
+    refused.
     """
-    entry.leaving = True
+    entry.shutting_down = True
     entry.events.emit("process.leaving", kind=ENTRY)
-    await asyncio.sleep(READINESS_SECONDS)
-    await close_http(entry.http, DRAIN_SECONDS)
-    await entry.caller.settled(CANCELS_SECONDS)
+    await asyncio.sleep(READINESS_DELAY_SECONDS)
+    await close_http(entry.http, DRAIN_TIMEOUT_SECONDS)
+    await entry.caller.settled(CANCEL_WAIT_SECONDS)
 
 
-def _app(entry: Entry, listener: Listener) -> Sanic:
-    app = make_app(listener)
-    front = Front(entry.cfg, entry.caller, entry.metrics)
-    add_caller_routes(app, front)
+def _make_entry_app(entry: Entry, options: HttpOptions) -> Sanic:
+    app = make_app(options)
+    endpoint = CallerEndpoint(entry.cfg, entry.caller, entry.metrics)
+    add_caller_routes(app, endpoint)
     add_operator_routes(
         app,
-        Operators(
+        OperatorEndpoint(
             entry.platform.table,
-            entry.spread,
+            entry.ticket_replication,
             entry.fleet,
             entry.pusher,
             entry.events,
         ),
     )
-    _close_connections(app, entry)
+    _add_connection_close(app, entry)
     return app
 
 
-def _close_connections(app: Sanic, entry: Entry) -> None:
+def _add_connection_close(app: Sanic, entry: Entry) -> None:
     @app.on_request
     async def close_after(req: Request) -> None:
-        # The answer says so, and the caller sends its next request elsewhere rather
-        # than on a connection that is about to be closed.
-        if entry.leaving:
+        # The response announces that the connection is closed, so that the caller does
+        # not send its next request on it.
+        if entry.shutting_down:
             req.stream.keep_alive = False
--- a/packages/wasabideck_entry/wasabideck_entry/entry_settings.py
+++ b/packages/wasabideck_entry/wasabideck_entry/entry_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry, with the checks that need to know its parts."""
+"""Settings of an entry, with the checks that depend on its routing policies."""
 
 from __future__ import annotations
 
@@ -11,11 +11,17 @@
 
 
 def load_entry_settings(path: str) -> EntrySettings:
-    """Settings from a TOML file; raises ``SettingsError`` on any wrong value."""
-    return load_settings(path, EntrySettings, (_known_routing,))
+    """Return an entry's settings from a TOML file.
 
+    Raises
+    ------
+    SettingsError
+        The file cannot be read, or a value is invalid.
+    """
+    return load_settings(path, EntrySettings, (_check_routing,))
 
-def _known_routing(cfg: EntrySettings) -> Wrong | None:
+
+def _check_routing(cfg: EntrySettings) -> Wrong | None:
     if cfg.routing not in POLICIES:
         return Wrong(("routing",), f"must be one of {', '.join(sorted(POLICIES))}")
     return None
--- a/packages/wasabideck_entry/wasabideck_entry/fleet.py
+++ b/packages/wasabideck_entry/wasabideck_entry/fleet.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the backend servers, and keeps asking them."""
+"""The backend servers that an entry uses and the status that each last reported."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 __all__ = ["Fleet"]
 
-STATUS_TIMEOUT = 1.0
-AGAIN_TIMEOUT = 0.3
-# Refusals that tell of the server, and not of the request or of the load.
-SERVER_FAILURES = {
+STATUS_TIMEOUT_SECONDS = 1.0
+STATUS_RETRY_TIMEOUT_SECONDS = 0.3
+# Kinds of failures caused by the server itself, and not by the request or by load.
+SERVER_FAULT_KINDS = {
     "ServerDied",
     "ServerDown",
     "ServerRefused",
@@ -34,16 +34,16 @@
 
 @define
 class Fleet:
-    """The platform's list, joined with what the agents themselves say.
+    """The platform's list of processes, merged with the status reported by the agents.
 
     Attributes
     ----------
     members : list of Member
-        The platform's last list.
+        The list last read from the platform.
     servers : dict of str to Server
         The servers that this entry uses, by VM.
-    changed : asyncio.Event
-        Set when the servers may have changed; whoever follows them clears it.
+    servers_changed : asyncio.Event
+        Set when the servers may have changed; its waiter clears it.
     """
 
     vm: str
@@ -51,126 +51,129 @@
     region: str = ""
     members: list[Member] = field(factory=list)
     servers: dict[str, Server] = field(factory=dict)
-    statuses: dict[str, pb.StatusReply] = field(factory=dict)
+    status_replies: dict[str, pb.StatusReply] = field(factory=dict)
     outliers: Outliers = field(factory=Outliers)
-    changed: asyncio.Event = field(factory=asyncio.Event)
+    servers_changed: asyncio.Event = field(factory=asyncio.Event)
     clock: Callable[[], float] = time.monotonic
-    _observed: dict[str, Observed] = field(factory=dict)
-    _cache_seen: dict[str, int] = field(factory=dict)
+    _vm_states: dict[str, Observed] = field(factory=dict)
+    _cache_changes_seen: dict[str, int] = field(factory=dict)
 
-    def take_members(self, members: list[Member]) -> None:
-        """Take a new list in; what is known of a server that stays is kept."""
+    def update_members(self, members: list[Member]) -> None:
+        """Apply a new list; the state of servers that remain listed is kept."""
         self.members = members
         agents = [m for m in members if m.kind == AGENT]
-        self._observed = join(self._observed, agents, self.clock())
-        used = self._subset()
-        self.servers = {vm: self._server(vm) for vm in sorted(used)}
-        self.changed.set()
-        for known in (self.statuses, self._cache_seen):
+        self._vm_states = join(self._vm_states, agents, self.clock())
+        selected = self._select_servers()
+        self.servers = {vm: self._server_of(vm) for vm in sorted(selected)}
+        self.servers_changed.set()
+        for known in (self.status_replies, self._cache_changes_seen):
             for vm in known.keys() - self.servers.keys():
                 del known[vm]
 
-    def entries(self) -> list[Member]:
-        """The other entries."""
+    def other_entries(self) -> list[Member]:
+        """Return the listed entries without this one."""
         return [m for m in self.members if m.kind == ENTRY and m.vm != self.vm]
 
-    def candidates(self, service: str, without: set[str]) -> list[Server]:
-        """Servers of a service that may be given new work."""
+    def candidates(self, service: str, excluded: set[str]) -> list[Server]:
+        """Return the servers of a service that may be sent new requests."""
         usable = {
             s.vm: s
             for s in self.servers.values()
             if s.service == service and s.serving and not s.leaving
-            if s.vm not in without
+            if s.vm not in excluded
         }
-        sound = self.outliers.sound(usable, self.clock())
-        return [server for vm, server in usable.items() if vm in sound]
+        healthy = self.outliers.sound(usable, self.clock())
+        return [server for vm, server in usable.items() if vm in healthy]
 
     def observe(self, server: Server, outcome: Outcome) -> None:
-        """Learn from how an attempt on a server ended."""
+        """Record the outcome of an attempt on a server."""
         if isinstance(outcome, Answered):
             self.outliers.succeeded(server.vm)
-        elif outcome.failure.kind in SERVER_FAILURES:
+        elif outcome.failure.kind in SERVER_FAULT_KINDS:
             self.outliers.failed(server.vm, self.clock())
         elif isinstance(outcome, Unknown) and outcome.crash:
             self.outliers.failed(server.vm, self.clock())
 
-    async def ask_all(self) -> None:
-        """Ask every server for its status, at once."""
-        await asyncio.gather(*(self.ask(s) for s in self.servers.values()))
+    async def query_all(self) -> None:
+        """Query the status of all servers concurrently."""
+        await asyncio.gather(*(self.query(s) for s in self.servers.values()))
 
-    async def ask(self, server: Server) -> bool:
-        """Ask a server for its status; whether it answered."""
-        reply = await self._status(server, STATUS_TIMEOUT)
+    async def query(self, server: Server) -> bool:
+        """Query a server's status; return whether it responded."""
+        reply = await self._request_status(server, STATUS_TIMEOUT_SECONDS)
         if reply is None:
-            # A connection that went silent says nothing of its server: were it out
-            # at once, such a moment on all links would leave no server at all. A
-            # frozen agent accepts the new connection as well and answers nothing: it
-            # is left alone until the first question that it answers.
-            reply = await self._status(server, AGAIN_TIMEOUT)
+            # An unresponsive connection does not show that its server has failed: if
+            # such servers were removed at once, a short interruption of all links
+            # would leave no server at all. So the query is repeated on a new
+            # connection. A suspended agent accepts that one too but sends no response;
+            # its server is not used until it responds to a query.
+            reply = await self._request_status(server, STATUS_RETRY_TIMEOUT_SECONDS)
         if reply is None:
             server.serving = False
             return False
-        self.take(server, reply)
+        self.apply_status(server, reply)
         return True
 
-    def question(self, server: Server, pause: float = 0.0) -> pb.StatusRequest:
-        """What a server is asked; ``pause`` is the seconds between words of a watch."""
-        seen = self._cache_seen.get(server.vm, 0)
+    def status_request(self, server: Server, interval: float = 0.0) -> pb.StatusRequest:
+        """Return a status query; ``interval`` is in seconds, for a watch."""
+        cache_changes = self._cache_changes_seen.get(server.vm, 0)
         return pb.StatusRequest(
-            vm=self.vm, cache_changes=seen, pause_ms=int(pause * 1000)
+            vm=self.vm, cache_changes=cache_changes, pause_ms=int(interval * 1000)
         )
 
-    def take(self, server: Server, reply: pb.StatusReply) -> None:
-        """Take in what a server says of itself."""
+    def apply_status(self, server: Server, reply: pb.StatusReply) -> None:
+        """Apply the status that a server reports."""
         now = self.clock()
-        observed = self._observed.get(server.vm)
-        if observed is None or reply.vm != server.vm:
+        state = self._vm_states.get(server.vm)
+        if state is None or reply.vm != server.vm:
             return
-        observed.answered(reply.leaving, now)
-        self.statuses[server.vm] = reply
+        state.answered(reply.leaving, now)
+        self.status_replies[server.vm] = reply
         server.serving = reply.serving
-        server.leaving = observed.leaving
+        server.leaving = state.leaving
         server.load, server.load_at = reply.load, reply.load_at
         server.capacity = reply.capacity
         server.manifest = reply.manifest
-        _take_clock(server, reply, now)
+        _update_clock_offset(server, reply, now)
         server.reported = reply.in_progress + reply.waiting
         server.own_reported = server.in_progress
         server.heard_at = now
         server.service_time = reply.service_time or server.service_time
-        if reply.cache_changes != self._cache_seen.get(server.vm, 0):
-            self._cache_seen[server.vm] = reply.cache_changes
+        if reply.cache_changes != self._cache_changes_seen.get(server.vm, 0):
+            self._cache_changes_seen[server.vm] = reply.cache_changes
             server.prefixes = list(reply.cached_prefixes)
 
-    async def _status(self, server: Server, timeout: float) -> pb.StatusReply | None:
-        """A server's status; None when its connection failed and was dropped."""
+    async def _request_status(
+        self, server: Server, timeout: float
+    ) -> pb.StatusReply | None:
+        """Return a server's status; None if its connection failed and was dropped."""
         channel = self.channels.get(server.address)
         try:
-            req = self.question(server)
+            req = self.status_request(server)
             return await PeersStub(channel).Status(req, timeout=timeout)
         except LINK_FAILURES:
             self.channels.drop(server.address, channel)
             return None
 
-    def _subset(self) -> set[str]:
+    def _select_servers(self) -> set[str]:
         entries = [m for m in self.members if m.kind == ENTRY and not m.leaving]
-        local = [m.vm for m in entries if m.region == self.region]
+        local_entries = [m.vm for m in entries if m.region == self.region]
         groups: dict[tuple[str, str], list[str]] = defaultdict(list)
-        for vm, observed in self._observed.items():
-            groups[observed.member.service, observed.member.region].append(vm)
-        used: set[str] = set()
+        for vm, state in self._vm_states.items():
+            groups[state.member.service, state.member.region].append(vm)
+        selected: set[str] = set()
         for (_, region), servers in groups.items():
-            # Servers of the own region are shared with the entries there alone.
+            # Servers of this region are divided among the entries of this region only.
             if region == self.region:
-                used |= subset(self.vm, local, servers, OWN_REGION)
+                selected |= subset(self.vm, local_entries, servers, OWN_REGION)
             else:
-                everyone = [m.vm for m in entries]
-                used |= subset(self.vm, everyone, servers, OTHER_REGION)
-        return used
+                all_entries = [m.vm for m in entries]
+                selected |= subset(self.vm, all_entries, servers, OTHER_REGION)
+        return selected
 
-    def _server(self, vm: str) -> Server:
-        observed = self._observed[vm]
-        member = observed.member
+    def _server_of(self, vm: str) -> Server:
+        state = self._vm_states[vm]
+        member = state.member
         server = self.servers.get(vm)
         if server is None or server.address != member.address:
             server = Server(
@@ -181,15 +184,16 @@
                 member.data_centre,
                 serving=False,
             )
-        server.leaving = observed.leaving
+        server.leaving = state.leaving
         return server
 
 
-def _take_clock(server: Server, reply: pb.StatusReply, now: float) -> None:
+def _update_clock_offset(server: Server, reply: pb.StatusReply, now: float) -> None:
     """Estimate how far the agent's clock is ahead of this one.
 
-    A word that was long under way makes it look less far ahead than it is, and a
-    request's last moment of arrival too early; so the largest estimate counts.
+    A report that was delayed on its way makes the offset look smaller than it is, and
+    the latest arrival time computed from it would be too early. So the largest
+    estimate is used.
     """
     ahead = reply.clock_ms / 1000 - now
     if reply.incarnation == server.incarnation:
--- a/packages/wasabideck_entry/wasabideck_entry/front.py
+++ b/packages/wasabideck_entry/wasabideck_entry/front.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: one request in, its whole answer or a refusal out."""
+"""The callers' HTTP interface: requests, streamed responses and refusals."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 )
 
 from .calls import Call, Caller, Ended, Part, Started
-from .identity import caller_of
+from .identity import organisation_of
 
-__all__ = ["Front", "add_caller_routes", "problem"]
+__all__ = ["CallerEndpoint", "add_caller_routes", "problem_response"]
 
-PROBLEM = "application/problem+json"
-LINES = "application/x-ndjson"
-MOST_KEY = 200
-# Of refusals that no later try can change.
-STATUSES = {"KeyReused": 422, "Quarantined": 422, "ServerRefused": 502}
+PROBLEM_CONTENT_TYPE = "application/problem+json"
+NDJSON_CONTENT_TYPE = "application/x-ndjson"
+MAX_KEY_CHARACTERS = 200
+# Status of refusals that a retry cannot change.
+STATUS_OF_FAILURE = {"KeyReused": 422, "Quarantined": 422, "ServerRefused": 502}
 
 
 class BadRequest(WasabideckError):
-    """A request is malformed; names the field and the value."""
+    """A request is malformed; the error has the field and the value."""
 
     status = 400
 
@@ -46,60 +46,63 @@
 
 
 @define
-class Front:
-    """What the callers' routes need."""
+class CallerEndpoint:
+    """Settings and components that the callers' routes use."""
 
     cfg: EntrySettings
     caller: Caller
     metrics: Metrics
 
     def service(self, name: str) -> ServiceSettings:
-        """Settings of a service; raises ``BadRequest`` on an unknown one."""
+        """Return a service's settings; raise ``BadRequest`` if it is unknown."""
         for service in self.cfg.services:
             if service.name == name:
                 return service
-        raise BadRequest("service", name, "no such service")
-
-    def call_of(self, req: Request, service: str, route: str) -> Call:
-        """The call that a request asks for."""
-        organisation = caller_of(req.headers.get("authorization", ""), self.cfg.callers)
-        known = self.service(service)
-        if known.routes and route not in known.routes:
-            raise BadRequest("route", route, "no such route")
-        repeatable = known.repeatable or route in known.repeatable_routes
+        raise BadRequest("service", name, "unknown service")
+
+    def build_call(self, req: Request, service: str, route: str) -> Call:
+        """Return the call that an HTTP request describes."""
+        organisation = organisation_of(
+            req.headers.get("authorization", ""), self.cfg.callers
+        )
+        settings = self.service(service)
+        if settings.routes and route not in settings.routes:
+            raise BadRequest("route", route, "unknown route")
+        repeatable = settings.repeatable or route in settings.repeatable_routes
         key = req.headers.get("idempotency-key", "")
-        if len(key) > MOST_KEY or (not repeatable and not key):
-            why = f"1 to {MOST_KEY} characters needed"
-            raise BadRequest("idempotency-key", key[:MOST_KEY], why)
+        if len(key) > MAX_KEY_CHARACTERS or (not repeatable and not key):
+            why = f"must be 1 to {MAX_KEY_CHARACTERS} characters long"
+            raise BadRequest("idempotency-key", key[:MAX_KEY_CHARACTERS], why)
         return Call(
-            request=uuid.uuid4().hex,
+            request_id=uuid.uuid4().hex,
             organisation=organisation,
             service=service,
             route=route,
             body=req.body,
             idempotency_key=key,
-            body_digest=_digest(service, route, req.body),
+            body_digest=_request_digest(service, route, req.body),
             repeatable=repeatable,
-            priority=known.priorities.get(route, known.priority),
-            deadline=time.monotonic() + _seconds(req, known.deadline_seconds),
-            again=_tries(req) > 1,
+            priority=settings.priorities.get(route, settings.priority),
+            deadline=time.monotonic()
+            + _timeout_seconds(req, settings.deadline_seconds),
+            again=_attempt_number(req) > 1,
         )
 
 
-def add_caller_routes(app: Sanic, front: Front) -> None:
+def add_caller_routes(app: Sanic, endpoint: CallerEndpoint) -> None:
     """Serve ``POST /v1/services/SERVICE/ROUTE``."""
 
     @app.post("/v1/services/<service:str>/<route:str>")
     async def run(req: Request, service: str, route: str) -> HTTPResponse | None:
-        call = front.call_of(req, service, route)
-        front.caller.events.emit(
-            "request.received", request=call.request, service=service
+        call = endpoint.build_call(req, service, route)
+        endpoint.caller.events.emit(
+            "request.received", request=call.request_id, service=service
         )
         response: ResponseStream | None = None
         outcome: Outcome | None = None
         started = Started(0, "", "")
-        # Closed at once when the caller goes away, so that the work is cancelled.
-        async with aclosing(front.caller.run(call)) as items:
+        # Closed as soon as the caller disconnects, so that the attempt is cancelled.
+        async with aclosing(endpoint.caller.run(call)) as items:
             async for item in items:
                 if isinstance(item, Ended):
                     outcome = item.outcome
@@ -107,42 +110,46 @@
                     started = item
                 elif isinstance(item, Part):
                     if response is None:
-                        response = await _begin(req, call, started)
-                    await response.send(_line(_text(item.data)))
-        _count(front, call, outcome)
+                        response = await _start_response(req, call, started)
+                    await response.send(_ndjson_line(_event_object(item.data)))
+        _record_outcome(endpoint, call, outcome)
         if response is None:
-            return _whole(outcome)
-        await response.send(_line(_tag(outcome)))
+            return _unstreamed_response(outcome)
+        await response.send(_ndjson_line(_outcome_object(outcome)))
         await response.eof()
         return None
 
 
-async def _begin(req: Request, call: Call, started: Started) -> ResponseStream:
+async def _start_response(req: Request, call: Call, started: Started) -> ResponseStream:
     headers = {
-        "x-wasabideck-request": call.request,
+        "x-wasabideck-request": call.request_id,
         "x-wasabideck-ticket": str(started.ticket),
         "x-wasabideck-version": started.version,
     }
-    return await req.respond(headers=headers, content_type=LINES)
+    return await req.respond(headers=headers, content_type=NDJSON_CONTENT_TYPE)
 
 
-def _count(front: Front, call: Call, outcome: Outcome) -> None:
+def _record_outcome(endpoint: CallerEndpoint, call: Call, outcome: Outcome) -> None:
     kind = type(outcome).__name__
-    front.metrics.requests.inc({"outcome": kind, "service": call.service})
-    front.caller.events.emit("request.final", request=call.request, outcome=kind)
+    endpoint.metrics.requests.inc({"outcome": kind, "service": call.service})
+    endpoint.caller.events.emit("request.final", request=call.request_id, outcome=kind)
 
 
-def _whole(outcome: Outcome) -> HTTPResponse:
-    """Response of a request of which no piece was sent."""
+def _unstreamed_response(outcome: Outcome) -> HTTPResponse:
+    """Return the response to a request of which no event was sent."""
     if isinstance(outcome, Answered):
-        return HTTPResponse(_line(_tag(outcome)), 200, content_type=LINES)
+        return HTTPResponse(
+            _ndjson_line(_outcome_object(outcome)),
+            200,
+            content_type=NDJSON_CONTENT_TYPE,
+        )
     status = 503 if isinstance(outcome, NotRun) else 504
-    status = STATUSES.get(outcome.failure.kind, status)
-    body = _tag(outcome) | {"title": outcome.failure.kind, "status": status}
-    return problem(status, body, outcome.retry_after)
+    status = STATUS_OF_FAILURE.get(outcome.failure.kind, status)
+    body = _outcome_object(outcome) | {"title": outcome.failure.kind, "status": status}
+    return problem_response(status, body, outcome.retry_after)
 
 
-def _tag(outcome: Outcome) -> dict:
+def _outcome_object(outcome: Outcome) -> dict:
     if isinstance(outcome, Answered):
         return {"outcome": "answered", "replayed": outcome.replayed}
     tag = "unknown" if isinstance(outcome, Unknown) else "not-run"
@@ -154,41 +161,43 @@
     }
 
 
-def problem(status: int, body: dict, retry_after: float = 0.0) -> HTTPResponse:
-    """A problem+json response, with Retry-After where a later try can help."""
+def problem_response(status: int, body: dict, retry_after: float = 0.0) -> HTTPResponse:
+    """Return a problem+json response, with Retry-After where a retry may succeed."""
     headers = {"retry-after": str(max(1, round(retry_after)))} if retry_after else {}
-    return HTTPResponse(orjson.dumps(body), status, headers, PROBLEM)
+    return HTTPResponse(orjson.dumps(body), status, headers, PROBLEM_CONTENT_TYPE)
 
 
-def _line(value: dict) -> bytes:
+def _ndjson_line(value: dict) -> bytes:
     return orjson.dumps(value) + b"\n"
 
 
-def _digest(service: str, route: str, body: bytes) -> str:
-    """Digest of all that a key stands for."""
+def _request_digest(service: str, route: str, body: bytes) -> str:
+    """Return the digest of the request that an idempotency key belongs to."""
     parts = (service.encode(), route.encode(), body)
     return hashlib.sha256(b"\0".join(parts)).hexdigest()
 
 
-def _text(data: bytes) -> dict:
-    """One piece as a line; bytes that are no text go as base64, unharmed."""
+def _event_object(data: bytes) -> dict:
+    """Return an event as a JSON object; bytes that are not UTF-8 are sent as base64."""
     try:
         return {"text": data.decode()}
     except UnicodeDecodeError:
         return {"base64": base64.b64encode(data).decode()}
 
 
-def _tries(req: Request) -> int:
+def _attempt_number(req: Request) -> int:
     text = req.headers.get("x-try", "1")
     if not text.isdigit() or not 0 < int(text) < 1000:
-        raise BadRequest("x-try", text, "how often this key was sent, from 1 on")
+        raise BadRequest(
+            "x-try", text, "must be the number of times this key was sent, 1 to 999"
+        )
     return int(text)
 
 
-def _seconds(req: Request, default: float) -> float:
+def _timeout_seconds(req: Request, default: float) -> float:
     text = req.headers.get("x-deadline-ms")
     if text is None:
         return default
     if not text.isdigit() or not 0 < int(text) <= 3_600_000:
-        raise BadRequest("x-deadline-ms", text, "milliseconds, up to an hour")
+        raise BadRequest("x-deadline-ms", text, "must be milliseconds, up to an hour")
     return int(text) / 1000
--- a/packages/wasabideck_entry/wasabideck_entry/identity.py
+++ b/packages/wasabideck_entry/wasabideck_entry/identity.py
@@ -1,4 +1,4 @@
-"""Who asks: operators and callers, by their credentials."""
+"""Authentication of operators and callers by their credentials."""
 
 from __future__ import annotations
 
@@ -12,12 +12,18 @@
 )
 from wasabideck_policy.outcomes import WasabideckError
 
-__all__ = ["NotAuthorised", "OtherOrganisation", "caller_of", "check", "operator_of"]
+__all__ = [
+    "NotAuthorised",
+    "OtherOrganisation",
+    "authenticate",
+    "operator_name_of",
+    "organisation_of",
+]
 
-BEARER = "Bearer "
-CALLERS_PATH = "/v1/services/"
-OPEN_PATHS = frozenset({"/ready", "/metrics"})
-ORGANISATION = "x-organisation"
+BEARER_PREFIX = "Bearer "
+CALLER_PATH_PREFIX = "/v1/services/"
+UNAUTHENTICATED_PATHS = frozenset({"/ready", "/metrics"})
+ORGANISATION_HEADER = "x-organisation"
 
 
 class NotAuthorised(WasabideckError):
@@ -25,65 +31,88 @@
 
     status = 401
 
-    def __init__(self, who: str):
-        super().__init__(f"no {who} has this credential")
+    def __init__(self, role: str):
+        super().__init__(f"the credential is missing or belongs to no {role}")
 
 
 class OtherOrganisation(WasabideckError):
-    """The credential is another organisation's than the request names."""
+    """The credential does not belong to the organisation that the request names."""
 
     status = 403
 
     def __init__(self, named: str):
-        super().__init__(f"the credential is not {named[:100]!r}'s")
+        super().__init__(
+            f"the credential does not belong to organisation {named[:100]!r}"
+        )
 
 
-def check(cfg: EntrySettings, path: str, headers: Mapping[str, str]) -> str:
-    """Who may go on with a request, known before its body is read.
+def authenticate(cfg: EntrySettings, path: str, headers: Mapping[str, str]) -> str:
+    """Return who sent a request; called before the request's body is read.
 
     Returns
     -------
-    who : str
-        The organisation of a caller, the name of an operator, or nothing for what
-        anyone may ask.
+    principal : str
+        The organisation of a caller, the name of an operator, or an empty string for
+        paths that need no credential.
 
     Raises
     ------
     NotAuthorised
         The credential is missing or wrong.
     OtherOrganisation
-        The request names another organisation than its credential's.
+        The request names another organisation than that of its credential.
     """
-    if path in OPEN_PATHS:
+    if path in UNAUTHENTICATED_PATHS:
         return ""
     header = headers.get("authorization", "")
-    if not path.startswith(CALLERS_PATH):
-        return operator_of(header, cfg.operators)
-    organisation = caller_of(header, cfg.callers)
-    named = headers.get(ORGANISATION, organisation)
+    if not path.startswith(CALLER_PATH_PREFIX):
+        return operator_name_of(header, cfg.operators)
+    organisation = organisation_of(header, cfg.callers)
+    named = headers.get(ORGANISATION_HEADER, organisation)
     if named != organisation:
         raise OtherOrganisation(named)
     return organisation
 
 
-def operator_of(header: str, operators: Iterable[OperatorSettings]) -> str:
-    """Name of the operator whose credential this is; raises ``NotAuthorised``."""
-    found = [one.name for one in operators if _same(header, one.token)]
+def operator_name_of(header: str, operators: Iterable[OperatorSettings]) -> str:
+    """Return the name of the operator with this credential.
+
+    Raises
+    ------
+    NotAuthorised
+        No operator has this credential.
+    """
+    found = [
+        operator.name
+        for operator in operators
+        if _credential_matches(header, operator.token)
+    ]
     if not found:
         raise NotAuthorised("operator")
     return found[0]
 
 
-def caller_of(header: str, callers: Iterable[CallerSettings]) -> str:
-    """Organisation whose credential this is; raises ``NotAuthorised``."""
-    found = [one.organisation for one in callers if _same(header, one.token)]
+def organisation_of(header: str, callers: Iterable[CallerSettings]) -> str:
+    """Return the organisation with this credential.
+
+    Raises
+    ------
+    NotAuthorised
+        No caller has this credential.
+    """
+    found = [
+        caller.organisation
+        for caller in callers
+        if _credential_matches(header, caller.token)
+    ]
     if not found:
         raise NotAuthorised("caller")
     return found[0]
 
 
-def _same(header: str, token: str) -> bool:
-    # Compared in constant time, and with every token: how long a refusal takes says
-    # nothing about how much of a guessed token was right.
-    given = header.encode(errors="surrogateescape")
-    return hmac.compare_digest(given, f"{BEARER}{token}".encode())
+def _credential_matches(header: str, token: str) -> bool:
+    # The comparison takes constant time, and callers of this function compare every
+    # token. So the duration of a refusal does not reveal how much of a guessed token
+    # was right.
+    received = header.encode(errors="surrogateescape")
+    return hmac.compare_digest(received, f"{BEARER_PREFIX}{token}".encode())
--- a/packages/wasabideck_entry/wasabideck_entry/listener.py
+++ b/packages/wasabideck_entry/wasabideck_entry/listener.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP server: limits and credentials before any route."""
+"""The entry's HTTP server, which checks limits and credentials before any route."""
 
 from __future__ import annotations
 
@@ -23,70 +23,70 @@
 
 from .caller_limits import HeldConnections
 from .connections import close_idle
-from .front import problem
-from .identity import check
+from .front import problem_response
+from .identity import authenticate
 
-__all__ = ["Listener", "close_http", "make_app", "serve_http"]
+__all__ = ["HttpOptions", "close_http", "make_app", "serve_http"]
 
-# sanic ends a handler after its response timeout, also in the middle of a stream;
-# the longest deadline that a caller may ask for is an hour.
-RESPONSE_SECONDS = 3700
-REQUEST_SECONDS = 30
-IDLE_SECONDS = 75
-HEADER_BYTES = 8192
+# sanic cancels a handler after this time, even during a streamed response. The longest
+# deadline that a caller may set is an hour.
+RESPONSE_TIMEOUT_SECONDS = 3700
+REQUEST_TIMEOUT_SECONDS = 30
+IDLE_TIMEOUT_SECONDS = 75
+MAX_HEADER_BYTES = 8192
 TICKETS_PATH = "/v1/tickets"
-CLOSE_STEP_SECONDS = 0.02
+CLOSE_POLL_INTERVAL_SECONDS = 0.02
 
 
 @frozen
-class Listener:
-    """What the HTTP server needs to know of the entry.
+class HttpOptions:
+    """Settings of the HTTP server and its access to the entry.
 
     Attributes
     ----------
     ready : callable
-        Whether the platform's balancer may send requests here.
-    observe : callable
-        The metrics, as they are now.
+        Returns whether the platform's load balancer may send requests here.
+    current_metrics : callable
+        Returns the current metrics.
     """
 
     cfg: EntrySettings
     ready: Callable[[], bool]
-    observe: Callable[[], Metrics]
+    current_metrics: Callable[[], Metrics]
     keys: Keys | None = None
 
 
-def make_app(listener: Listener) -> Sanic:
-    """Application without routes, but for those of the process itself."""
-    # sanic takes fewer characters for a name than a VM's may have.
-    vm = re.sub(r"[^A-Za-z0-9]", "_", listener.cfg.process.vm)
+def make_app(options: HttpOptions) -> Sanic:
+    """Return an application that has only the routes of the process itself."""
+    # sanic allows fewer characters in a name than a VM's name may have.
+    vm = re.sub(r"[^A-Za-z0-9]", "_", options.cfg.process.vm)
     app = Sanic(f"wasabideck_{vm}", configure_logging=False)
     app.config.update(
         {
             "MOTD": False,
-            "REQUEST_MAX_SIZE": listener.cfg.body_bytes,
-            "REQUEST_MAX_HEADER_SIZE": HEADER_BYTES,
-            "REQUEST_TIMEOUT": REQUEST_SECONDS,
-            "RESPONSE_TIMEOUT": RESPONSE_SECONDS,
-            "KEEP_ALIVE_TIMEOUT": IDLE_SECONDS,
+            "REQUEST_MAX_SIZE": options.cfg.body_bytes,
+            "REQUEST_MAX_HEADER_SIZE": MAX_HEADER_BYTES,
+            "REQUEST_TIMEOUT": REQUEST_TIMEOUT_SECONDS,
+            "RESPONSE_TIMEOUT": RESPONSE_TIMEOUT_SECONDS,
+            "KEEP_ALIVE_TIMEOUT": IDLE_TIMEOUT_SECONDS,
         }
     )
-    _add_guards(app, listener)
-    _add_process_routes(app, listener)
+    _add_request_checks(app, options)
+    _add_process_routes(app, options)
     return app
 
 
-async def serve_http(app: Sanic, listener: Listener) -> tuple[AsyncioServer, str]:
-    """Serve; the server and its bound address.
+async def serve_http(app: Sanic, options: HttpOptions) -> tuple[AsyncioServer, str]:
+    """Start to serve; return the server and its bound address.
 
-    sanic runs inside this loop: its worker manager would start processes.
+    sanic runs inside this event loop, since its worker manager would start processes.
     """
-    address = listener.cfg.process.http
+    address = options.cfg.process.http
     with binding(address):
         sock = socket.create_server(split_address(address))
     server = await app.create_server(
         sock=sock,
-        ssl=listener.keys.http if listener.keys else None,
+        ssl=options.keys.http if options.keys else None,
         return_asyncio_server=True,
         access_log=False,
     )
@@ -98,65 +98,71 @@
 
 
 async def close_http(server: AsyncioServer, seconds: float) -> None:
-    """Take no new connection, and close each one when its request has ended."""
+    """Accept no new connections, and close each one when its request has ended."""
     server.close()
-    limit = time.monotonic() + seconds
-    while server.connections and time.monotonic() < limit:
+    close_by = time.monotonic() + seconds
+    while server.connections and time.monotonic() < close_by:
         close_idle(server)
-        await asyncio.sleep(CLOSE_STEP_SECONDS)
+        await asyncio.sleep(CLOSE_POLL_INTERVAL_SECONDS)
 
 
-def _add_guards(app: Sanic, listener: Listener) -> None:
-    callers = listener.cfg.callers
-    held = HeldConnections({c.organisation: c.most_connections for c in callers})
+def _add_request_checks(app: Sanic, options: HttpOptions) -> None:
+    callers = options.cfg.callers
+    connections = HeldConnections({c.organisation: c.most_connections for c in callers})
 
-    # Requests are checked when their head has been read: a wrong credential is
-    # refused before its body is taken in.
+    # A request is checked once its head has been read, so that a wrong credential is
+    # refused before the body is received.
     @app.signal("http.routing.after")
     async def admit(request: Request, **routed: object) -> None:
-        request.ctx.who = check(listener.cfg, request.path, request.headers)
-        held.enter(request.conn_info.ctx, request.ctx.who)
-        request.stream.request_max_size = most = _most_bytes(listener, request.path)
-        # A longer body is refused from its announced length; one that comes in
-        # pieces is refused as soon as they are too many.
-        if int(request.headers.get("content-length", 0)) > most:
-            raise PayloadTooLarge(f"body: {most} bytes at most")
+        request.ctx.principal = authenticate(options.cfg, request.path, request.headers)
+        connections.enter(request.conn_info.ctx, request.ctx.principal)
+        request.stream.request_max_size = max_bytes = _max_body_bytes(
+            options, request.path
+        )
+        # A body that is too long is refused by its Content-Length, or, if it is sent
+        # in chunks, as soon as the chunks exceed the limit.
+        if int(request.headers.get("content-length", 0)) > max_bytes:
+            raise PayloadTooLarge(f"body: at most {max_bytes} bytes are allowed")
 
     @app.signal("http.lifecycle.complete")
     async def leave(conn_info: ConnInfo, **_: object) -> None:
-        held.leave(conn_info.ctx)
+        connections.leave(conn_info.ctx)
 
     @app.exception(WasabideckError)
     async def refuse(req: Request, exc: WasabideckError) -> HTTPResponse:
-        return _refusal(req, type(exc).__name__, exc.status, str(exc), exc.retry_after)
+        return _refusal_response(
+            req, type(exc).__name__, exc.status, str(exc), exc.retry_after
+        )
 
     @app.exception(SanicException)
     async def refuse_malformed(req: Request, exc: SanicException) -> HTTPResponse:
-        return _refusal(req, type(exc).__name__, exc.status_code, str(exc), 0.0)
+        return _refusal_response(
+            req, type(exc).__name__, exc.status_code, str(exc), 0.0
+        )
 
 
-def _most_bytes(listener: Listener, path: str) -> int:
-    # sanic takes a path with a slash at its end for the same route.
-    tickets = path.rstrip("/") == TICKETS_PATH
-    return MAX_TICKET_BYTES if tickets else listener.cfg.body_bytes
+def _max_body_bytes(options: HttpOptions, path: str) -> int:
+    # sanic routes a path with a trailing slash to the same route.
+    is_ticket = path.rstrip("/") == TICKETS_PATH
+    return MAX_TICKET_BYTES if is_ticket else options.cfg.body_bytes
 
 
-def _refusal(
+def _refusal_response(
     req: Request, title: str, status: int, detail: str, retry_after: float
 ) -> HTTPResponse:
     body = {"title": title, "status": status, "detail": detail}
     if req.path.startswith("/v1/services"):
         body["outcome"] = "not-run"
-    return problem(status, body, retry_after)
+    return problem_response(status, body, retry_after)
 
 
-def _add_process_routes(app: Sanic, listener: Listener) -> None:
+def _add_process_routes(app: Sanic, options: HttpOptions) -> None:
     @app.get("/ready")
     async def ready(req: Request) -> HTTPResponse:
-        return HTTPResponse(status=200 if listener.ready() else 503)
+        return HTTPResponse(status=200 if options.ready() else 503)
 
     @app.get("/metrics")
     async def metrics(req: Request) -> HTTPResponse:
         accept = req.headers.get("accept", "")
-        body, headers = render_metrics(listener.observe(), accept)
+        body, headers = render_metrics(options.current_metrics(), accept)
         return HTTPResponse(body, headers=headers)
--- a/packages/wasabideck_entry/wasabideck_entry/operator_client.py
+++ b/packages/wasabideck_entry/wasabideck_entry/operator_client.py
@@ -1,4 +1,4 @@
-"""The operators' side of an entry's HTTP interface."""
+"""Client of the operators' HTTP interface of an entry."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 
 __all__ = ["AcceptanceUnknown", "EntryRefused", "EntryUnreachable", "OperatorClient"]
 
-TIMEOUT = 30.0
-EXIT_UNKNOWN = 3
+TIMEOUT_SECONDS = 30.0
+UNKNOWN_EXIT_CODE = 3
 
 
 class EntryUnreachable(WasabideckError):
-    """The entry gave no answer; nothing was sent that could change anything."""
+    """The entry did not respond to a request that changes nothing."""
 
 
 class AcceptanceUnknown(WasabideckError):
-    """Nobody can say yet whether the ticket was accepted; submit the file again."""
+    """It is unknown whether the ticket was accepted; submit the same file again."""
 
-    exit_code = EXIT_UNKNOWN
+    exit_code = UNKNOWN_EXIT_CODE
 
 
 class EntryRefused(WasabideckError):
-    """The entry refused; its typed error is passed on."""
+    """The entry refused the request; the message has the entry's error."""
 
 
 @define
 class OperatorClient:
-    """Asks one entry on behalf of an operator."""
+    """Sends an operator's requests to one entry."""
 
     cfg: AccessSettings
 
     def submit(self, file: str) -> dict:
-        """Submit a ticket's file.
+        """Submit the file of a ticket.
 
         Raises
         ------
         TicketError
-            The file cannot be read, or is too big.
+            The file cannot be read or is too big.
         AcceptanceUnknown
-            The answer was lost; submitting the same file again is safe.
+            The response was lost; submitting the same file again is safe.
         EntryRefused
             The ticket is not accepted.
         """
@@ -65,14 +65,14 @@
             raise AcceptanceUnknown(f"{exc}; submit the same file again") from exc
 
     def get(self, path: str, query: Mapping[str, str] | None = None) -> object:
-        """Answer of a path.
+        """Return the response of a path.
 
         Raises
         ------
         EntryUnreachable
-            No answer came.
+            No response was received.
         EntryRefused
-            The answer is a refusal.
+            The entry refused the request.
         """
         return self._call("GET", path, None, query=query)
 
@@ -87,7 +87,7 @@
         headers = {"authorization": f"Bearer {self.cfg.token}"}
         if source:
             headers["x-source"] = source.encode("ascii", "replace").decode()
-        return asyncio.run(self._ask(method, path, body, query, headers))
+        return asyncio.run(self._send(method, path, body, query, headers))
 
     def _ssl(self) -> ssl.SSLContext | bool:
         if self.cfg.plain_text:
@@ -98,7 +98,7 @@
             why = f"{self.cfg.authority}: {exc}; nothing was sent"
             raise EntryRefused(why) from exc
 
-    async def _ask(
+    async def _send(
         self,
         method: str,
         path: str,
@@ -106,10 +106,10 @@
         query: Mapping[str, str] | None,
         headers: dict[str, str],
     ) -> object:
-        limit = aiohttp.ClientTimeout(total=TIMEOUT)
+        client_timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
         url = f"{self.cfg.entry.rstrip('/')}{path}"
         try:
-            async with aiohttp.ClientSession(timeout=limit) as session:
+            async with aiohttp.ClientSession(timeout=client_timeout) as session:
                 req = session.request(
                     method,
                     url,
@@ -118,25 +118,25 @@
                     headers=headers,
                     ssl=self._ssl(),
                 )
-                async with req as answer:
-                    data = await answer.read()
+                async with req as response:
+                    data = await response.read()
         except aiohttp.ClientConnectorError as exc:
-            # Nothing was sent, so that a ticket certainly was not accepted.
+            # Nothing was sent, so a submitted ticket was certainly not accepted.
             raise EntryRefused(f"{url}: {exc}; nothing was sent") from exc
         except (TimeoutError, aiohttp.ClientError) as exc:
             why = str(exc) or type(exc).__name__
             raise EntryUnreachable(f"{url}: {why}") from exc
-        return _answer(answer.status, data)
+        return _parse_response(response.status, data)
 
 
-def _answer(status: int, data: bytes) -> object:
+def _parse_response(status: int, data: bytes) -> object:
     try:
-        answer = orjson.loads(data)
+        response = orjson.loads(data)
     except ValueError:
         raise EntryRefused(f"status {status}: {data[:200]!r}") from None
     if status == 200:
-        return answer
-    title, detail = answer.get("title"), answer.get("detail")
+        return response
+    title, detail = response.get("title"), response.get("detail")
     if title == "TicketUnknown":
         raise AcceptanceUnknown(f"{detail}; submit the same file again")
     raise EntryRefused(f"{title}: {detail}")
--- a/packages/wasabideck_entry/wasabideck_entry/operators.py
+++ b/packages/wasabideck_entry/wasabideck_entry/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: tickets, their status, the report, the fleet."""
+"""The operators' HTTP interface: tickets, their status, deliveries and servers."""
 
 from __future__ import annotations
 
@@ -26,101 +26,103 @@
 from .pushes import Pusher
 from .report import ReportFilter
 
-__all__ = ["Operators", "TicketUnheard", "add_operator_routes"]
+__all__ = ["OperatorEndpoint", "TicketUnheard", "add_operator_routes"]
 
 
 class TicketUnheard(WasabideckError):
-    """Certain: no ticket of this number is accepted, or will be unless sent again."""
+    """No ticket of this number is accepted, or will be unless it is submitted again."""
 
     status = 404
 
     def __init__(self, number: int):
-        super().__init__(f"no ticket {number} is accepted")
+        super().__init__(f"ticket {number} is not accepted")
         self.number = number
 
 
 @define
-class Operators:
-    """What the operators' routes need."""
+class OperatorEndpoint:
+    """Components that the operators' routes use."""
 
     table: Table
-    spread: Spread
+    ticket_replication: Spread
     fleet: Fleet
     pusher: Pusher
     events: Events
 
     async def submit(self, body: bytes, source: str, operator: str) -> dict:
-        """Accept a ticket, take it in here, and push it on."""
+        """Accept a ticket, apply it in this entry, and push it to other processes."""
         if len(body) > MAX_TICKET_BYTES:
             raise TicketError(source, "ticket", len(body), "too many bytes")
         try:
             table = tomllib.loads(body.decode())
         except ValueError as exc:
-            raise TicketError(source, "ticket", "...", f"no TOML: {exc}") from exc
+            raise TicketError(
+                source, "ticket", "...", f"not valid TOML: {exc}"
+            ) from exc
         ticket = parse_ticket(table, source)
         accepted = await accept_ticket(self.table, ticket, operator, time.time())
         self.events.emit("ticket.accepted", ticket=ticket.number, operator=operator)
         changes = assignments_of(accepted)
-        self.spread.merge(changes)
-        await self.pusher.hand_on(changes)
-        return _shown(accepted)
+        self.ticket_replication.merge(changes)
+        await self.pusher.push_until_received(changes)
+        return _ticket_object(accepted)
 
     async def show(self, number: int) -> dict:
-        """An accepted ticket; its absence is made certain first."""
+        """Return an accepted ticket; raise ``TicketUnheard`` if it certainly is not."""
         accepted = await settle_ticket(self.table, number)
         if accepted is None:
             raise TicketUnheard(number)
-        return _shown(accepted)
+        return _ticket_object(accepted)
 
     async def status(self, number: int) -> dict:
-        """Whether a ticket is accepted, and where it is in force."""
-        shown = await self.show(number)
+        """Return an accepted ticket with the VMs on which it is in effect."""
+        ticket = await self.show(number)
         rows = await self.report(f"{number:020d}/")
-        shown["in_force"] = sorted(row["vm"] for row in rows if row["in_force"])
-        return shown
+        ticket["in_force"] = sorted(row["vm"] for row in rows if row["in_force"])
+        return ticket
 
     async def list(self) -> list[dict]:
-        """All accepted tickets, by number."""
-        return [_shown(accepted) for accepted in await list_tickets(self.table)]
+        """Return all accepted tickets, sorted by number."""
+        return [_ticket_object(accepted) for accepted in await list_tickets(self.table)]
 
     async def report(self, prefix: str = "") -> list[dict]:
-        """Delivery rows whose key has a prefix."""
+        """Return the delivery rows whose key has a prefix."""
         return [row for _, row in await self.table.scan("deliveries", prefix)]
 
     def fleet_status(self) -> list[dict]:
-        """What this entry knows of every server."""
+        """Return the state of every server that this entry uses."""
         return [asdict(server) for server in self.fleet.servers.values()]
 
 
-def add_operator_routes(app: Sanic, operators: Operators) -> None:
-    """Serve the operators' routes; the listener has checked who asks."""
+def add_operator_routes(app: Sanic, endpoint: OperatorEndpoint) -> None:
+    """Add the operators' routes; the HTTP server authenticates their requests."""
 
-    def route(method: str, path: str, answer: Callable[..., Awaitable]) -> None:
+    def route(method: str, path: str, handle: Callable[..., Awaitable]) -> None:
         async def handler(req: Request, **args: object) -> HTTPResponse:
-            value = await answer(req, req.ctx.who, **args)
+            value = await handle(req, req.ctx.principal, **args)
             return HTTPResponse(orjson.dumps(value), content_type="application/json")
 
-        app.add_route(handler, path, methods=[method], name=answer.__name__)
+        app.add_route(handler, path, methods=[method], name=handle.__name__)
 
     async def submit(req: Request, operator: str) -> dict:
         source = req.headers.get("x-source", "ticket")
-        return await operators.submit(req.body, source, operator)
+        return await endpoint.submit(req.body, source, operator)
 
     async def show(req: Request, operator: str, number: int) -> dict:
-        return await operators.show(number)
+        return await endpoint.show(number)
 
     async def status(req: Request, operator: str, number: int) -> dict:
-        return await operators.status(number)
+        return await endpoint.status(number)
 
     async def list_all(req: Request, operator: str) -> list[dict]:
-        return await operators.list()
+        return await endpoint.list()
 
     async def report(req: Request, operator: str) -> list[dict]:
-        wanted = ReportFilter.from_query(dict(req.query_args))
-        return wanted.keep(await operators.report(wanted.prefix))
+        report_filter = ReportFilter.from_query(dict(req.query_args))
+        return report_filter.keep(await endpoint.report(report_filter.prefix))
 
     async def fleet(req: Request, operator: str) -> list[dict]:
-        return operators.fleet_status()
+        return endpoint.fleet_status()
 
     route("POST", "/v1/tickets", submit)
     route("GET", "/v1/tickets", list_all)
@@ -130,7 +132,7 @@
     route("GET", "/v1/fleet", fleet)
 
 
-def _shown(accepted: Accepted) -> dict:
+def _ticket_object(accepted: Accepted) -> dict:
     row = asdict(accepted.ticket)
     row["sequence"] = accepted.sequence
     row["again"] = accepted.again
--- a/packages/wasabideck_entry/wasabideck_entry/picture.py
+++ b/packages/wasabideck_entry/wasabideck_entry/picture.py
@@ -1,4 +1,7 @@
-"""The time line as one self-contained HTML page: a lane a VM, a line a cause."""
+"""The timeline as a self-contained HTML page.
+
+Each VM has a lane. Lines connect events of the same cause.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +13,18 @@
 from wasabideck_base.events import MICROS, Stamp
 from wasabideck_base.vocabulary import CAUSES, KINDS
 
-from .timeline import EventsUnreadable, fields_of, merge_events
+from .timeline import EventsUnreadable, format_fields, merge_events
 
-__all__ = ["draw_timeline", "write_picture"]
+__all__ = ["draw_timeline", "write_timeline_page"]
 
-LEFT = 140
-TOP = 30
-LANE = 36
-WIDTH = 1400
-STEP = 7
-RADIUS = 4
+LEFT_PIXELS = 140
+TOP_PIXELS = 30
+LANE_PIXELS = 36
+MIN_WIDTH_PIXELS = 1400
+MIN_DISTANCE_PIXELS = 7
+RADIUS_PIXELS = 4
 
-PAGE = """<!DOCTYPE html>
+PAGE_TEMPLATE = """<!DOCTYPE html>
 <html lang="en"><meta charset="utf-8"><title>wasabideck time line</title>
 <style>
 body {{ font: 13px sans-serif; margin: 1em }}
@@ -46,7 +49,7 @@
     y: float
 
 
-def write_picture(files: Sequence[str], page: str) -> None:
+def write_timeline_page(files: Sequence[str], page_file: str) -> None:
     """Write the merged events of some files as a page.
 
     Raises
@@ -55,54 +58,63 @@
         A file cannot be read, or the page cannot be written.
     """
     try:
-        Path(page).write_text(draw_timeline(merge_events(files).events))
+        Path(page_file).write_text(draw_timeline(merge_events(files).events))
     except OSError as exc:
-        raise EventsUnreadable(page, exc.strerror) from exc
+        raise EventsUnreadable(page_file, exc.strerror) from exc
 
 
 def draw_timeline(events: Sequence[dict]) -> str:
-    """The page of merged events."""
+    """Return an HTML page that shows merged events."""
     vms = sorted({event["vm"] for event in events})
     points = _points(events, vms)
-    width = max([WIDTH, *(point.x + LEFT for point in points)])
+    width = max([MIN_WIDTH_PIXELS, *(point.x + LEFT_PIXELS for point in points)])
     shapes = [_lane(vm, i, width) for i, vm in enumerate(vms)]
-    shapes += _causes(points)
-    shapes += [_dot(point) for point in points]
+    shapes += _cause_lines(points)
+    shapes += [_circle(point) for point in points]
     micros = [Stamp.parse(event["hlc"]).micros for event in events] or [0]
-    return PAGE.format(
+    return PAGE_TEMPLATE.format(
         count=len(events),
         vms=len(vms),
         seconds=(micros[-1] - micros[0]) / MICROS,
         width=round(width),
-        height=TOP + LANE * (len(vms) + 1),
+        height=TOP_PIXELS + LANE_PIXELS * (len(vms) + 1),
         shapes="\n".join(shapes),
     )
 
 
 def _points(events: Sequence[dict], vms: Sequence[str]) -> list[_Point]:
-    """Places of events: by time, and at least a step apart in their order."""
+    """Return the events' positions: by time, in order, and a minimum distance apart."""
     if not events:
         return []
     micros = [Stamp.parse(event["hlc"]).micros for event in events]
-    scale = (WIDTH - LEFT) / max(1, micros[-1] - micros[0])
+    scale = (MIN_WIDTH_PIXELS - LEFT_PIXELS) / max(1, micros[-1] - micros[0])
     points: list[_Point] = []
-    x = LEFT - STEP
-    for event, at in zip(events, micros, strict=True):
-        x = max(x + STEP, LEFT + (at - micros[0]) * scale)
-        points.append(_Point(event, x, TOP + LANE * vms.index(event["vm"])))
+    x = LEFT_PIXELS - MIN_DISTANCE_PIXELS
+    for event, event_micros in zip(events, micros, strict=True):
+        x = max(
+            x + MIN_DISTANCE_PIXELS,
+            LEFT_PIXELS + (event_micros - micros[0]) * scale,
+        )
+        points.append(
+            _Point(
+                event,
+                x,
+                TOP_PIXELS + LANE_PIXELS * vms.index(event["vm"]),
+            )
+        )
     return points
 
 
 def _lane(vm: str, index: int, width: float) -> str:
-    y = TOP + LANE * index
+    y = TOP_PIXELS + LANE_PIXELS * index
     return (
         f'<text x="4" y="{y + 4}">{escape(vm)}</text>'
-        f'<line class="lane" x1="{LEFT}" x2="{width:.0f}" y1="{y}" y2="{y}"/>'
+        f'<line class="lane" x1="{LEFT_PIXELS}" x2="{width:.0f}" y1="{y}" y2="{y}"/>'
     )
 
 
-def _causes(points: Sequence[_Point]) -> list[str]:
-    """Lines from an event to the next one of the same cause on another VM."""
+def _cause_lines(points: Sequence[_Point]) -> list[str]:
+    """Return lines from an event to the next event of the same cause on another VM."""
     latest: dict[tuple[str, str], _Point] = {}
     lines = []
     for point in points:
@@ -120,12 +132,12 @@
     return lines
 
 
-def _dot(point: _Point) -> str:
+def _circle(point: _Point) -> str:
     kind = point.event["message_type"]
     alarm = kind in KINDS and KINDS[kind].todo
     style = ' class="alarm"' if alarm else ""
-    title = escape(f"{point.event['hlc']} {kind} {fields_of(point.event)}")
+    title = escape(f"{point.event['hlc']} {kind} {format_fields(point.event)}")
     return (
-        f'<circle{style} cx="{point.x:.1f}" cy="{point.y}" r="{RADIUS}">'
+        f'<circle{style} cx="{point.x:.1f}" cy="{point.y}" r="{RADIUS_PIXELS}">'
         f"<title>{title}</title></circle>"
     )
--- a/packages/wasabideck_entry/wasabideck_entry/pushes.py
+++ b/packages/wasabideck_entry/wasabideck_entry/pushes.py
@@ -1,4 +1,4 @@
-"""Tells other entries, and the agents that watch this one, of new tickets."""
+"""Pushes new tickets to other entries and to the agents that watch this one."""
 
 from __future__ import annotations
 
@@ -19,72 +19,74 @@
 
 @define
 class Pusher:
-    """Pushes each change once to a few entries and to the agents that watch.
+    """Pushes each change once to a few entries and to the agents that watch this one.
 
-    A push that gets lost is not repeated: comparisons make up for it within a
-    second, and the fanout makes it rare that they have to.
+    A lost push is not retried: anti-entropy delivers the change within a second, and
+    the fanout of the pushes makes that case rare.
     """
 
     data_centre: str
-    spread: Spread
+    ticket_replication: Spread
     peers: PeersService
     fleet: Fleet
     channels: Channels
     rng: random.Random
-    _fresh: list[Assignment] = field(factory=list)
-    _grown: asyncio.Event = field(factory=asyncio.Event)
-    _pushes: set[asyncio.Task] = field(factory=set)
+    _pending: list[Assignment] = field(factory=list)
+    _changes_added: asyncio.Event = field(factory=asyncio.Event)
+    _push_tasks: set[asyncio.Task] = field(factory=set)
 
-    def note(self, newer: list[Assignment]) -> None:
-        """Have changes pushed by ``run``."""
-        self._fresh += newer
-        self._grown.set()
+    def enqueue(self, changes: list[Assignment]) -> None:
+        """Add changes to those that ``run`` pushes next."""
+        self._pending += changes
+        self._changes_added.set()
 
     async def run(self) -> None:
-        """Push what was noted, for ever."""
+        """Push the added changes; runs until cancelled."""
         while True:
-            await self._grown.wait()
-            self._grown.clear()
-            fresh, self._fresh = self._fresh, []
-            self._start(fresh, [*self._entries(), *self._agents()])
+            await self._changes_added.wait()
+            self._changes_added.clear()
+            pending, self._pending = self._pending, []
+            self._start_pushes(
+                pending, [*self._entry_addresses(), *self._agent_addresses()]
+            )
 
-    async def hand_on(self, changes: Iterable[Assignment]) -> None:
-        """Push to a few entries; return when one has it, or all have failed.
+    async def push_until_received(self, changes: Iterable[Assignment]) -> None:
+        """Push to a few entries; return when one has received it or all have failed.
 
-        So an accepted ticket outlives the entry that accepted it, also when the
-        table goes down right after.
+        So an accepted ticket survives the loss of the entry that accepted it, even if
+        the table becomes unavailable immediately afterwards.
         """
-        waiting = self._start(list(changes), self._entries())
-        while waiting:
-            done, waiting = await asyncio.wait(
-                waiting, return_when=asyncio.FIRST_COMPLETED
+        unfinished = self._start_pushes(list(changes), self._entry_addresses())
+        while unfinished:
+            done, unfinished = await asyncio.wait(
+                unfinished, return_when=asyncio.FIRST_COMPLETED
             )
             if any(task.result() for task in done):
                 return
 
-    def _entries(self) -> list[str]:
+    def _entry_addresses(self) -> list[str]:
         members = tell(self.fleet.vm, self.data_centre, self.fleet.members, self.rng)
         return [member.address for member in members]
 
-    def _agents(self) -> list[str]:
+    def _agent_addresses(self) -> list[str]:
         servers = self.fleet.servers
-        watchers = sorted(self.peers.watchers())
-        return [servers[vm].address for vm in watchers if vm in servers]
+        watching_vms = sorted(self.peers.watchers())
+        return [servers[vm].address for vm in watching_vms if vm in servers]
 
-    def _start(
+    def _start_pushes(
         self, changes: list[Assignment], addresses: list[str]
     ) -> set[asyncio.Task]:
         pushes = {
             asyncio.create_task(self._push(address, changes)) for address in addresses
         }
-        self._pushes |= pushes
+        self._push_tasks |= pushes
         for push in pushes:
-            push.add_done_callback(self._pushes.discard)
+            push.add_done_callback(self._push_tasks.discard)
         return pushes
 
     async def _push(self, address: str, changes: list[Assignment]) -> bool:
         try:
-            await self.spread.push(self.channels.get(address), changes)
+            await self.ticket_replication.push(self.channels.get(address), changes)
         except LINK_FAILURES:
             self.channels.drop(address)
             return False
--- a/packages/wasabideck_entry/wasabideck_entry/report.py
+++ b/packages/wasabideck_entry/wasabideck_entry/report.py
@@ -1,4 +1,4 @@
-"""Which delivery rows a report shows."""
+"""The filter of the delivery rows in a report."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FilterError(WasabideckError):
-    """A report's filter is malformed; names the field and the value."""
+    """A report's filter is malformed; the error has the field and the value."""
 
     status = 400
     exit_code = 2
@@ -25,7 +25,10 @@
 
 
 def moment(field: str, text: str) -> float:
-    """Wall seconds of an ISO 8601 time, UTC unless it says else; 0 for none."""
+    """Return an ISO 8601 time as seconds since the epoch; 0 for an empty text.
+
+    A time without an offset is in UTC.
+    """
     if not text:
         return 0.0
     try:
@@ -37,14 +40,14 @@
 
 @frozen
 class ReportFilter:
-    """What the rows of a report have in common; zero and empty mean any.
+    """Conditions that all rows of a report meet; zero and empty match any row.
 
     Attributes
     ----------
     manifest : str
-        Beginning of the manifest's digest.
+        Prefix of the manifest's digest.
     since, until : float
-        Wall seconds; deliveries whose span touches this one.
+        Seconds since the epoch; deliveries whose interval overlaps this one match.
     """
 
     ticket: int = 0
@@ -55,15 +58,15 @@
 
     @classmethod
     def from_query(cls, query: Mapping[str, str]) -> ReportFilter:
-        """Filter from a request's query; raises ``FilterError`` on a wrong one."""
+        """Return the filter of a query; raise ``FilterError`` if it is malformed."""
         for name in query:
-            if name not in _READERS:
-                raise FilterError(name, query[name], "no such filter")
-        return cls(**{name: _READERS[name](name, query[name]) for name in query})
+            if name not in _PARSERS:
+                raise FilterError(name, query[name], "unknown filter")
+        return cls(**{name: _PARSERS[name](name, query[name]) for name in query})
 
     def to_query(self) -> dict[str, str]:
-        """Query of a request, without what means any."""
-        values = {name: getattr(self, name) for name in _READERS}
+        """Return the query of a request, without values that match any row."""
+        values = {name: getattr(self, name) for name in _PARSERS}
         return {name: str(value) for name, value in values.items() if value}
 
     @property
@@ -72,7 +75,7 @@
         return f"{self.ticket:020d}/" if self.ticket else ""
 
     def keep(self, rows: Iterable[dict]) -> list[dict]:
-        """The rows that match, in their order."""
+        """Return the rows that match, in their order."""
         return [row for row in rows if self._matches(row)]
 
     def _matches(self, row: dict) -> bool:
@@ -84,17 +87,17 @@
             return False
         if self.until and row["begun"] > self.until:
             return False
-        # A delivery that is not yet in force goes on.
+        # A delivery that is not yet in effect is still in progress.
         return not row["in_force"] or row["in_force"] >= self.since
 
 
-def _number(field: str, text: str) -> int:
+def _parse_ticket_number(field: str, text: str) -> int:
     if not text.isdecimal() or len(text) > 19:
         raise FilterError(field, text[:40], "must be a ticket's number")
     return int(text)
 
 
-def _seconds(field: str, text: str) -> float:
+def _parse_seconds(field: str, text: str) -> float:
     try:
         seconds = float(text)
     except ValueError:
@@ -104,14 +107,14 @@
     return seconds
 
 
-def _text(field: str, text: str) -> str:
+def _parse_text(field: str, text: str) -> str:
     return text
 
 
-_READERS = {
-    "ticket": _number,
-    "vm": _text,
-    "manifest": _text,
-    "since": _seconds,
-    "until": _seconds,
+_PARSERS = {
+    "ticket": _parse_ticket_number,
+    "vm": _parse_text,
+    "manifest": _parse_text,
+    "since": _parse_seconds,
+    "until": _parse_seconds,
 }
--- a/packages/wasabideck_entry/wasabideck_entry/resolve.py
+++ b/packages/wasabideck_entry/wasabideck_entry/resolve.py
@@ -1,4 +1,4 @@
-"""Finds out from the table what became of an order whose agent is lost."""
+"""Determines the outcome of an attempt from the table when its agent is lost."""
 
 from __future__ import annotations
 
@@ -9,63 +9,65 @@
 from wasabideck_policy.claims import DONE, RELEASED, RUNNING, Claim
 from wasabideck_policy.outcomes import Answered, Failure, NotRun, Outcome
 
-__all__ = ["Resolved", "Resolver", "barring"]
+__all__ = ["Resolved", "Resolver", "barring_claim"]
 
-MOST_TRIES = 3
+MAX_WRITE_ATTEMPTS = 3
 
 
 @frozen
 class Resolved:
-    """What became of a lost attempt, and the stored answer if there is one."""
+    """The outcome of a lost attempt, and the stored response if there is one."""
 
     outcome: Outcome
-    answer: bytes = b""
+    response: bytes = b""
 
 
 @define
 class Resolver:
-    """Settles attempts of calls that may not be repeated, through their claims.
+    """Resolves attempts of calls that must not be repeated, through their claims.
 
-    The claim is the point at which a call is bound to run. An attempt that has not
-    taken it is barred from it in the row itself, whatever its agent does later: it
-    may be dead, cut off, or paused and about to wake. So "not run" is certain, and
-    another server may be given the call.
+    A call runs only after its attempt has taken the claim. An attempt that has not
+    taken the claim is barred from it in the claim's row. The bar holds whatever the
+    agent does later: it may be terminated, partitioned, or suspended and about to
+    resume. So "not run" is certain, and the call may be sent to another server.
     """
 
     table: Table
 
     async def resolve(self, claim: Claim) -> Resolved | None:
-        """What became of an attempt; None while nobody can know."""
+        """Return the outcome of an attempt; None while it cannot be known."""
         try:
-            for _ in range(MOST_TRIES):
-                found = await read_claim(self.table, claim.organisation, claim.key)
-                if found is not None and found.state == RUNNING:
+            for _ in range(MAX_WRITE_ATTEMPTS):
+                stored = await read_claim(self.table, claim.organisation, claim.key)
+                if stored is not None and stored.state == RUNNING:
                     return None
-                if found is not None and found.state == DONE:
-                    return _done(claim, found)
-                if await self._bar(found, claim):
-                    failure = Failure("Barred", "its agent was lost before it ran")
+                if stored is not None and stored.state == DONE:
+                    return _resolve_done(claim, stored)
+                if await self._write_bar(stored, claim):
+                    failure = Failure(
+                        "Barred", "its agent was lost before the attempt ran"
+                    )
                     return Resolved(NotRun(failure, 1.0, settled=True))
         except (PlatformUnavailable, PlatformRefused):
-            # The bar may stand or not: nothing may be concluded from it.
+            # It is unknown whether the bar was written, so the outcome is unknown too.
             return None
         return None
 
-    async def _bar(self, found: Claim | None, claim: Claim) -> bool:
-        check, write = claim_write(found, claim)
+    async def _write_bar(self, stored: Claim | None, claim: Claim) -> bool:
+        check, write = claim_write(stored, claim)
         return await self.table.transact([check], [write]) is None
 
 
-def barring(
+def barring_claim(
     organisation: str, key: str, body_digest: str, attempt: str, vm: str
 ) -> Claim:
-    """The row that bars an attempt from a key and leaves it free for others."""
+    """Return the row that bars an attempt from a key and leaves the key to others."""
     return Claim(
         organisation, key, body_digest, attempt, vm, state=RELEASED, barred=[attempt]
     )
 
 
-def _done(claim: Claim, found: Claim) -> Resolved | None:
-    if found.body_digest != claim.body_digest:
+def _resolve_done(claim: Claim, stored: Claim) -> Resolved | None:
+    if stored.body_digest != claim.body_digest:
         return None
-    return Resolved(Answered(replayed=True), stored_answer(found))
+    return Resolved(Answered(replayed=True), stored_answer(stored))
--- a/packages/wasabideck_entry/wasabideck_entry/show.py
+++ b/packages/wasabideck_entry/wasabideck_entry/show.py
@@ -1,4 +1,4 @@
-"""Answers to operators, as text for people or JSON for programs."""
+"""Output of the operators' commands, as text tables or JSON."""
 
 from __future__ import annotations
 
@@ -8,16 +8,32 @@
 import orjson
 
 __all__ = [
-    "show_fleet",
+    "print_servers",
+    "print_ticket",
+    "print_tickets",
     "show_json",
     "show_report",
-    "show_ticket",
-    "show_tickets",
 ]
 
-REPORT = ("VM", "TICKET", "VERSION", "BEGUN", "VERIFIED", "IN FORCE", "SOURCES")
-TICKETS = ("TICKET", "ACCEPTED", "OPERATOR", "CHANGES", "NOTE")
-FLEET = ("VM", "SERVICE", "REGION", "SERVING", "LEAVING", "IN PROGRESS", "ADDRESS")
+REPORT_HEADINGS = (
+    "VM",
+    "TICKET",
+    "VERSION",
+    "BEGUN",
+    "VERIFIED",
+    "IN FORCE",
+    "SOURCES",
+)
+TICKET_HEADINGS = ("TICKET", "ACCEPTED", "OPERATOR", "CHANGES", "NOTE")
+SERVER_HEADINGS = (
+    "VM",
+    "SERVICE",
+    "REGION",
+    "SERVING",
+    "LEAVING",
+    "IN PROGRESS",
+    "ADDRESS",
+)
 
 
 def show_json(value: object) -> None:
@@ -26,25 +42,25 @@
 
 
 def show_report(rows: Sequence[dict]) -> None:
-    """Print delivery rows: who got which weights, when, and from where."""
-    _show_table(REPORT, (_report_row(row) for row in rows))
+    """Print delivery rows: the weights, times and sources of each delivery to a VM."""
+    _print_table(REPORT_HEADINGS, (_report_row(row) for row in rows))
 
 
-def show_tickets(tickets: Sequence[dict]) -> None:
-    """Print one line a ticket."""
-    _show_table(TICKETS, (_ticket_row(ticket) for ticket in tickets))
+def print_tickets(tickets: Sequence[dict]) -> None:
+    """Print a table with one line for each ticket."""
+    _print_table(TICKET_HEADINGS, (_ticket_row(ticket) for ticket in tickets))
 
 
-def show_fleet(servers: Sequence[Mapping]) -> None:
-    """Print one line a backend server, as the entry knows it."""
-    _show_table(FLEET, (_fleet_row(server) for server in servers))
+def print_servers(servers: Sequence[Mapping]) -> None:
+    """Print a table with one line for each backend server that the entry uses."""
+    _print_table(SERVER_HEADINGS, (_server_row(server) for server in servers))
 
 
-def show_ticket(ticket: Mapping) -> None:
-    """Print a ticket with its changes, and where it is in force if that is known."""
+def print_ticket(ticket: Mapping) -> None:
+    """Print a ticket with its changes and, if known, the VMs where it is in effect."""
     again = ", accepted before" if ticket.get("again") else ""
     print(f"ticket {ticket['number']}: accepted as number {ticket['sequence']}{again}")
-    print(f"  by {ticket['operator']} at {_date(ticket['accepted_at'])}")
+    print(f"  by {ticket['operator']} at {_date_and_time(ticket['accepted_at'])}")
     if ticket.get("note"):
         print(f"  note: {ticket['note']}")
     for change in ticket["changes"]:
@@ -54,7 +70,7 @@
         print(f"  in force on: {', '.join(ticket['in_force']) or 'no VM yet'}")
 
 
-def _show_table(headings: Sequence[str], rows: Iterable[Sequence[str]]) -> None:
+def _print_table(headings: Sequence[str], rows: Iterable[Sequence[str]]) -> None:
     table = [headings, *rows]
     widths = [max(len(row[i]) for row in table) for i in range(len(headings))]
     for row in table:
@@ -68,9 +84,9 @@
         row["vm"],
         str(row["ticket"]),
         f"{row['model']} {row['version']}",
-        _time(row["begun"]),
-        _time(row["verified"]),
-        _time(row["in_force"]),
+        _time_of_day(row["begun"]),
+        _time_of_day(row["verified"]),
+        _time_of_day(row["in_force"]),
         sources or "held already",
     )
 
@@ -79,14 +95,14 @@
     changes = (f"{change['scope']}#{change['slot']}" for change in ticket["changes"])
     return (
         str(ticket["number"]),
-        _date(ticket["accepted_at"]),
+        _date_and_time(ticket["accepted_at"]),
         ticket["operator"],
         ", ".join(changes),
         ticket["note"],
     )
 
 
-def _fleet_row(server: Mapping) -> tuple[str, ...]:
+def _server_row(server: Mapping) -> tuple[str, ...]:
     return (
         server["vm"],
         server["service"],
@@ -98,11 +114,11 @@
     )
 
 
-def _time(seconds: float) -> str:
+def _time_of_day(seconds: float) -> str:
     if not seconds:
         return "-"
     return datetime.fromtimestamp(seconds, UTC).strftime("%H:%M:%S.%f")[:-3]
 
 
-def _date(seconds: float) -> str:
+def _date_and_time(seconds: float) -> str:
     return datetime.fromtimestamp(seconds, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
--- a/packages/wasabideck_entry/wasabideck_entry/streams.py
+++ b/packages/wasabideck_entry/wasabideck_entry/streams.py
@@ -1,4 +1,4 @@
-"""One attempt's events, on as many connections as it takes."""
+"""Receives the events of one attempt, reconnecting when a connection fails."""
 
 from __future__ import annotations
 
@@ -19,33 +19,34 @@
 
 from .resolve import Resolved
 
-__all__ = ["SILENCE_SECONDS", "AttemptStream"]
+__all__ = ["RECEIVE_TIMEOUT_SECONDS", "AttemptStream"]
 
-# An agent sends a heartbeat every half second: a connection without one for this
-# long has gone silent, whatever TCP thinks of it.
-SILENCE_SECONDS = 2.0
-CANCEL_SECONDS = 1.0
-RECONNECT_SECONDS = 0.05
-# Refused connections in a row after which the agent process is taken for dead.
-MOST_REFUSED = 2
-# Silent or broken connections in a row after which a call goes elsewhere, if it may
-# be repeated or certainly did not run.
-MOST_SILENT = 2
-# The agent itself ends an attempt at its deadline, and its word is the better one.
-GRACE_SECONDS = 1.0
+# An agent sends a heartbeat every half second. A connection that delivers nothing for
+# this time is treated as failed, even if TCP still reports it as open.
+RECEIVE_TIMEOUT_SECONDS = 2.0
+CANCEL_TIMEOUT_SECONDS = 1.0
+RECONNECT_DELAY_SECONDS = 0.05
+# Consecutive refused connections after which the agent process counts as terminated.
+MAX_REFUSED_CONNECTIONS = 2
+# Consecutive failed or unresponsive connections after which a call is retried on
+# another server, if it is repeatable or certainly did not run.
+MAX_FAILED_CONNECTIONS = 2
+# Extra wait after the deadline: the agent itself ends an attempt at the deadline, and
+# the outcome that it reports is more precise.
+DEADLINE_GRACE_SECONDS = 1.0
 
 
 @define
 class AttemptStream:
-    """Sends one attempt to an agent, and stays on its events until the final one.
+    """Sends one attempt to an agent and receives its events up to the final one.
 
     Attributes
     ----------
     deadline : float
         By this process's clock, seconds.
     resolve : callable
-        Finds out what became of the attempt when its agent is lost; None while
-        nobody can know.
+        Returns the outcome of the attempt when its agent is lost; None while the
+        outcome cannot be known.
     """
 
     server: Server
@@ -55,72 +56,83 @@
     events: Events
     resolve: Callable[[], Awaitable[Resolved | None]]
     clock: Callable[[], float] = time.monotonic
-    silence: float = SILENCE_SECONDS
+    receive_timeout: float = RECEIVE_TIMEOUT_SECONDS
     offset: int = 0
     sent: bool = False
-    _silent: int = 0
-    _refused: int = 0
-    _pieces: int = 0
-    _not_after: float = field(init=False)
+    _failed_connections: int = 0
+    _refused_connections: int = 0
+    _event_count: int = 0
+    _latest_arrival: float = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Name the agent process that is meant, and how late it may hear of it."""
-        self._not_after = self.clock() + self.server.clock_ahead + ARRIVAL_SECONDS
+        """Set the agent process that the attempt is for and its latest arrival time."""
+        self._latest_arrival = self.clock() + self.server.clock_ahead + ARRIVAL_SECONDS
         self.req.incarnation = self.server.incarnation
-        self.req.not_after_ms = int(self._not_after * 1000)
+        self.req.not_after_ms = int(self._latest_arrival * 1000)
 
     async def run(self) -> AsyncIterator[pb.RunEvent]:
-        """Events without heartbeats; the last one is final.
+        """Return the events without heartbeats; the last one is final.
 
-        A connection that broke or went silent is replaced by another that goes on
-        from the offset reached, so nothing is lost or doubled.
+        A failed or unresponsive connection is replaced by a new one that resumes at
+        the offset reached, so that no event is lost or duplicated.
         """
         outcome: Outcome | None = None
-        known: Resolved | None = None
-        while self.clock() < self.deadline + GRACE_SECONDS:
+        resolved: Resolved | None = None
+        while self.clock() < self.deadline + DEADLINE_GRACE_SECONDS:
             channel = self.channels.get(self.server.address)
             try:
-                async for event in self._on(channel):
+                async for event in self._receive(channel):
                     yield event
                     if event.HasField("final"):
                         return
             except ConnectionRefusedError as exc:
-                if outcome := self._refusal(exc):
+                if outcome := self._refused_outcome(exc):
                     break
             except LINK_FAILURES as exc:
-                self._note_break(channel, exc)
-                if self._silent >= MOST_SILENT and self.req.repeatable:
+                self._record_failed_connection(channel, exc)
+                if (
+                    self._failed_connections >= MAX_FAILED_CONNECTIONS
+                    and self.req.repeatable
+                ):
                     break
-                if self._silent >= MOST_SILENT and (known := await self.resolve()):
+                if self._failed_connections >= MAX_FAILED_CONNECTIONS and (
+                    resolved := await self.resolve()
+                ):
                     break
-            await asyncio.sleep(RECONNECT_SECONDS)
-        if outcome is None and known is None:
-            outcome = await self.give_up()
-        for event in await self._last(outcome, known):
+            await asyncio.sleep(RECONNECT_DELAY_SECONDS)
+        if outcome is None and resolved is None:
+            outcome = await self.abandon()
+        for event in await self._final_events(outcome, resolved):
             yield event
 
-    async def _last(
-        self, outcome: Outcome | None, known: Resolved | None
+    async def _final_events(
+        self, outcome: Outcome | None, resolved: Resolved | None
     ) -> list[pb.RunEvent]:
-        """The final event, and before it a stored answer that has yet to be given."""
-        if known is None and isinstance(outcome, Unknown) and not self.req.repeatable:
-            known = await self.resolve()
-        if known is None:
-            return [_final(self.offset, outcome)]
-        final = _final(self.offset, known.outcome)
-        if not known.answer or self._pieces:
+        """Return the final event, after a stored response that was not sent yet."""
+        if (
+            resolved is None
+            and isinstance(outcome, Unknown)
+            and not self.req.repeatable
+        ):
+            resolved = await self.resolve()
+        if resolved is None:
+            return [_final_event(self.offset, outcome)]
+        final = _final_event(self.offset, resolved.outcome)
+        if not resolved.response or self._event_count:
             return [final]
-        piece = pb.Piece(data=known.answer)
+        piece = pb.Piece(data=resolved.response)
         return [pb.RunEvent(offset=self.offset, piece=piece), final]
 
-    async def give_up(self) -> Outcome:
-        """Cancel the attempt; whether it certainly did not and will not run."""
+    async def abandon(self) -> Outcome:
+        """Cancel the attempt and return its outcome."""
         if not self.sent or await self.cancel():
-            return NotRun(Failure("NotBegun", "given up before it ran"), 1.0)
-        return Unknown(Failure("NoAnswer", f"none from {self.server.vm} in time"))
+            return NotRun(Failure("NotBegun", "cancelled before it ran"), 1.0)
+        return Unknown(
+            Failure("NoAnswer", f"no response from {self.server.vm} in time")
+        )
 
     async def cancel(self) -> bool:
-        """Cancel the attempt; whether it certainly did not and will not run."""
+        """Cancel the attempt; return whether it certainly did not and will not run."""
         channel = self.channels.get(self.server.address)
         req = pb.CancelRequest(
             attempt=self.req.attempt,
@@ -128,45 +140,45 @@
             not_after_ms=self.req.not_after_ms,
         )
         try:
-            reply = await RunsStub(channel).Cancel(req, timeout=CANCEL_SECONDS)
+            reply = await RunsStub(channel).Cancel(req, timeout=CANCEL_TIMEOUT_SECONDS)
         except LINK_FAILURES:
             self.channels.drop(self.server.address, channel)
             return False
         return reply.not_run
 
-    async def _on(self, channel: Channel) -> AsyncIterator[pb.RunEvent]:
-        """Events from the offset reached, on one connection."""
+    async def _receive(self, channel: Channel) -> AsyncIterator[pb.RunEvent]:
+        """Return the events from the offset reached, on one connection."""
         stub = RunsStub(channel)
         method = stub.Resume if self.sent else stub.Run
         async with method.open() as stream:
             try:
-                # Until it is connected nothing can have been sent.
-                async with asyncio.timeout(self.silence):
+                # Nothing can have been sent before the connection is established.
+                async with asyncio.timeout(self.receive_timeout):
                     await stream.send_request()
-                req = self._resume() if self.sent else self.req
+                req = self._resume_request() if self.sent else self.req
                 self.sent = True
-                async with asyncio.timeout(self.silence):
+                async with asyncio.timeout(self.receive_timeout):
                     await stream.send_message(req, end=True)
-                while self.clock() < self.deadline + GRACE_SECONDS:
-                    async with asyncio.timeout(self.silence):
+                while self.clock() < self.deadline + DEADLINE_GRACE_SECONDS:
+                    async with asyncio.timeout(self.receive_timeout):
                         event = await stream.recv_message()
                     if event is None:
                         raise ConnectionResetError("the stream ended early")
-                    self._silent = self._refused = 0
+                    self._failed_connections = self._refused_connections = 0
                     if event.HasField("beat"):
                         continue
                     self.offset = event.offset + 1
-                    self._pieces += event.HasField("piece")
+                    self._event_count += event.HasField("piece")
                     yield event
                     if event.HasField("final"):
                         return
             except LINK_FAILURES:
-                # Before the stream is left, which would wait to write its reset to a
-                # connection that takes nothing any more.
+                # The connection is dropped before the stream's context ends: its end
+                # would block on writing a reset to a connection that accepts no data.
                 self.channels.drop(self.server.address, channel)
                 raise
 
-    def _resume(self) -> pb.ResumeRequest:
+    def _resume_request(self) -> pb.ResumeRequest:
         return pb.ResumeRequest(
             attempt=self.req.attempt,
             offset=self.offset,
@@ -174,21 +186,22 @@
             not_after_ms=self.req.not_after_ms,
         )
 
-    def _refusal(self, exc: ConnectionRefusedError) -> Outcome | None:
-        """Outcome once nothing listens there; None while it may be a hiccup."""
+    def _refused_outcome(self, exc: ConnectionRefusedError) -> Outcome | None:
+        """Return the outcome if the agent is lost; None while it may be transient."""
         self.server.serving = False
         if not self.sent:
             return NotRun(Failure("Unreachable", str(exc)), 1.0)
-        self._refused += 1
-        if self._refused < MOST_REFUSED:
+        self._refused_connections += 1
+        if self._refused_connections < MAX_REFUSED_CONNECTIONS:
             return None
-        # Its server may have taken the whole VM down: every entry names this alike.
+        # The server may have crashed its whole VM. The identifier is the same at every
+        # entry, so that the crash is counted once.
         crash = f"{self.server.vm}/{self.server.incarnation}/gone"
-        failure = Failure("AgentGone", f"{self.server.vm} died with it")
+        failure = Failure("AgentGone", f"the agent of {self.server.vm} has terminated")
         return Unknown(failure, 1.0, crash)
 
-    def _note_break(self, channel: Channel, exc: BaseException) -> None:
-        self._silent += 1
+    def _record_failed_connection(self, channel: Channel, exc: BaseException) -> None:
+        self._failed_connections += 1
         self.channels.drop(self.server.address, channel)
         self.events.emit(
             "attempt.resumed",
@@ -198,5 +211,5 @@
         )
 
 
-def _final(offset: int, outcome: Outcome) -> pb.RunEvent:
+def _final_event(offset: int, outcome: Outcome) -> pb.RunEvent:
     return pb.RunEvent(offset=offset, final=final_from(outcome))
--- a/packages/wasabideck_entry/wasabideck_entry/suspects.py
+++ b/packages/wasabideck_entry/wasabideck_entry/suspects.py
@@ -1,4 +1,4 @@
-"""What an entry does about requests that crash the servers that run them."""
+"""Restricts requests that are suspected of crashing servers."""
 
 from __future__ import annotations
 
@@ -18,59 +18,62 @@
 
 __all__ = ["Suspects"]
 
-TELL_SECONDS = 0.3
+NOTIFY_TIMEOUT_SECONDS = 0.3
 
 
-async def _nobody() -> None:
-    """Tell no other entry."""
+async def _notify_none() -> None:
+    """Notify no other entry."""
 
 
 @define
 class Suspects:
-    """Notes crashes, tells the other entries, and holds suspects back.
+    """Records crashes, notifies the other entries, and restricts suspected requests.
 
     Attributes
     ----------
-    tell : callable
-        Tells the other entries of all crashes.
+    notify_entries : callable
+        Notifies the other entries of all recorded crashes.
     """
 
     quarantine: Quarantine = field(factory=Quarantine)
-    tell: Callable[[], Awaitable[None]] = _nobody
+    notify_entries: Callable[[], Awaitable[None]] = _notify_none
     wall: Callable[[], float] = time.time
 
-    def name(self, call: Call) -> str:
-        """Fingerprint of a call."""
+    def fingerprint_of(self, call: Call) -> str:
+        """Return the fingerprint of a call."""
         return fingerprint(call.organisation, call.service, call.route, call.body)
 
-    def refused(self, name: str) -> bool:
-        """Whether it is refused for good."""
-        return self.quarantine.refused(name, self.wall())
+    def is_quarantined(self, request_fingerprint: str) -> bool:
+        """Whether the request is refused on every server."""
+        return self.quarantine.refused(request_fingerprint, self.wall())
 
-    def alone(self, name: str) -> bool:
-        """Whether it runs beside nothing else."""
-        return self.quarantine.alone(name, self.wall())
+    def must_run_alone(self, request_fingerprint: str) -> bool:
+        """Whether the request may run only on a server without other requests."""
+        return self.quarantine.alone(request_fingerprint, self.wall())
 
-    def narrow(self, name: str, servers: list[Server]) -> list[Server]:
-        """The servers that may be given it: for a suspect just one.
+    def eligible_servers(
+        self, request_fingerprint: str, servers: list[Server]
+    ) -> list[Server]:
+        """Return the servers that the request may be sent to.
 
-        Each entry arrives at the same one, so two entries cannot have two servers
-        crash of one suspect at the same time.
+        A suspected request may be sent to one server only. All entries choose the same
+        server, so that two entries cannot crash two servers with the same request at
+        the same time.
         """
-        if not servers or not self.alone(name):
+        if not servers or not self.must_run_alone(request_fingerprint):
             return servers
-        crashed = self.quarantine.servers(name, self.wall())
+        crashed = self.quarantine.servers(request_fingerprint, self.wall())
         by_vm = {s.vm: s for s in servers if s.vm not in crashed}
-        return [by_vm[rank(name, by_vm)[0]]] if by_vm else []
+        return [by_vm[rank(request_fingerprint, by_vm)[0]]] if by_vm else []
 
-    async def hear(self, name: str, outcome: Outcome) -> None:
-        """Take in an outcome; a crash is told to the other entries before a retry."""
+    async def record_outcome(self, request_fingerprint: str, outcome: Outcome) -> None:
+        """Record an outcome; notify the other entries of a crash before any retry."""
         if not isinstance(outcome, Unknown) or not outcome.crash:
             return
-        self.quarantine.record(name, outcome.crash, self.wall())
+        self.quarantine.record(request_fingerprint, outcome.crash, self.wall())
         try:
-            async with asyncio.timeout(TELL_SECONDS):
-                await self.tell()
+            async with asyncio.timeout(NOTIFY_TIMEOUT_SECONDS):
+                await self.notify_entries()
         except TimeoutError:
-            # They hear of it with the next comparison of state.
+            # The other entries receive it with the next anti-entropy round.
             return
--- a/packages/wasabideck_entry/wasabideck_entry/timeline.py
+++ b/packages/wasabideck_entry/wasabideck_entry/timeline.py
@@ -1,4 +1,4 @@
-"""One time line of events over all processes, in the order of cause and effect."""
+"""Merges the event files of several processes into one timeline in causal order."""
 
 from __future__ import annotations
 
@@ -12,13 +12,19 @@
 from wasabideck_base.events import MICROS, Stamp
 from wasabideck_policy.outcomes import WasabideckError
 
-__all__ = ["EventsUnreadable", "Timeline", "fields_of", "merge_events", "show_timeline"]
+__all__ = [
+    "EventsUnreadable",
+    "Timeline",
+    "format_fields",
+    "merge_events",
+    "show_timeline",
+]
 
-_HIDDEN = {"hlc", "vm", "message_type", "timestamp", "task_uuid", "task_level"}
+_HIDDEN_FIELDS = {"hlc", "vm", "message_type", "timestamp", "task_uuid", "task_level"}
 
 
 class EventsUnreadable(WasabideckError):
-    """An event file cannot be read, or a picture cannot be written."""
+    """An event file cannot be read, or a page cannot be written."""
 
     def __init__(self, file: str, why: str):
         super().__init__(f"{file}: {why}")
@@ -27,10 +33,10 @@
 
 @define
 class Timeline:
-    """Merged events, and how many lines of each file are no events.
+    """Merged events, and the number of unreadable lines in each file.
 
-    A process that was killed leaves half a line at the end of its file, and one
-    whose disk was full half a line in the middle.
+    A process that was killed leaves an incomplete line at the end of its file, and a
+    process whose disk was full an incomplete line in the middle.
     """
 
     events: list[dict] = field(factory=list)
@@ -38,7 +44,7 @@
 
 
 def merge_events(files: Iterable[str]) -> Timeline:
-    """Events of all files, ordered by the hybrid logical clock.
+    """Return the events of all files, ordered by their hybrid logical clock.
 
     Raises
     ------
@@ -47,27 +53,27 @@
     """
     merged = Timeline()
     for file in files:
-        _read(file, merged)
+        _read_file(file, merged)
     merged.events.sort(key=lambda event: (Stamp.parse(event["hlc"]), event["vm"]))
     return merged
 
 
 def show_timeline(files: Sequence[str], json: bool) -> None:
-    """Print the merged events: JSON lines, or one line of text each."""
+    """Print the merged events, each as a line of JSON or a line of text."""
     merged = merge_events(files)
     for event in merged.events:
-        print(orjson.dumps(event).decode() if json else _text(event))
+        print(orjson.dumps(event).decode() if json else _event_line(event))
     for file, lines in merged.unreadable.items():
         print(f"{file}: {lines} lines are no whole events", file=sys.stderr)
 
 
-def fields_of(event: dict) -> str:
-    """An event's own fields, as one line of text."""
-    shown = {k: v for k, v in event.items() if k not in _HIDDEN}
+def format_fields(event: dict) -> str:
+    """Return an event's own fields as one line of text."""
+    shown = {k: v for k, v in event.items() if k not in _HIDDEN_FIELDS}
     return " ".join(f"{name}={value}" for name, value in sorted(shown.items()))
 
 
-def _read(file: str, merged: Timeline) -> None:
+def _read_file(file: str, merged: Timeline) -> None:
     try:
         lines = Path(file).read_bytes().splitlines()
     except OSError as exc:
@@ -76,22 +82,23 @@
         try:
             event = orjson.loads(line)
             if "message_type" in event and "hlc" not in event:
-                continue  # a library's own message, which bears no stamp
+                continue  # a message of a library, which has no timestamp
             Stamp.parse(event["hlc"])
-            known = isinstance(event["vm"], str)
-            known = known and isinstance(event["message_type"], str)
+            valid = isinstance(event["vm"], str)
+            valid = valid and isinstance(event["message_type"], str)
         except (ValueError, TypeError, KeyError):
-            known = False
-        if known:
+            valid = False
+        if valid:
             merged.events.append(event)
         else:
             merged.unreadable[file] = merged.unreadable.get(file, 0) + 1
 
 
-def _text(event: dict) -> str:
+def _event_line(event: dict) -> str:
     stamp = Stamp.parse(event["hlc"])
     time = datetime.fromtimestamp(stamp.micros / MICROS, UTC).strftime("%H:%M:%S.%f")
-    place = f"{time}+{stamp.counter}"
-    return f"{place:<18} {event['vm']:<12} {event['message_type']:<18} " + fields_of(
-        event
+    time_label = f"{time}+{stamp.counter}"
+    return (
+        f"{time_label:<18} {event['vm']:<12} {event['message_type']:<18} "
+        + format_fields(event)
     )
--- a/packages/wasabideck_entry/wasabideck_entry/watching.py
+++ b/packages/wasabideck_entry/wasabideck_entry/watching.py
@@ -1,8 +1,8 @@
-"""Hears from each server of an entry, on a stream of its own.
+"""Receives status reports from each server of an entry over a stream per server.
 
-A word on an open stream costs a tenth of a question and its answer: no headers are
-coded. A stream that breaks or goes silent is followed by one question on a new
-connection, which decides whether the server is out.
+A report on an open stream costs a tenth of a request and its response, since no
+headers are encoded. When a stream fails or delivers nothing, the server's status is
+queried once on a new connection. That query decides whether the server remains in use.
 """
 
 from __future__ import annotations
@@ -17,42 +17,43 @@
 from wasabideck_policy.subsets import poll_pause
 from wasabideck_wire.inner_grpc import PeersStub
 
-from .fleet import STATUS_TIMEOUT, Fleet
+from .fleet import STATUS_TIMEOUT_SECONDS, Fleet
 
-__all__ = ["Watching"]
+__all__ = ["StatusWatcher"]
 
-LOOK_SECONDS = 0.25
-SHORTEST_DELAY = 0.05
-FIRST_BACKOFF = 0.25
-LONGEST_BACKOFF = 2.0
+CHECK_INTERVAL_SECONDS = 0.25
+RECONNECT_DELAY_SECONDS = 0.05
+INITIAL_BACKOFF_SECONDS = 0.25
+MAX_BACKOFF_SECONDS = 2.0
 
 
 @define
-class Watching:
-    """Keeps a watch on every server that a fleet uses."""
+class StatusWatcher:
+    """Watches the status of every server that a fleet uses."""
 
     fleet: Fleet
     rng: random.Random
     _watches: dict[str, tuple[Server, asyncio.Task]] = field(factory=dict)
 
     async def run(self) -> None:
-        """Begin and end watches as servers come and go, for ever."""
+        """Start and end watches as servers are added and removed, until cancelled."""
         try:
             while True:
-                self.fleet.changed.clear()
-                self._follow_fleet()
+                self.fleet.servers_changed.clear()
+                self._update_watches()
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(LOOK_SECONDS):
-                        await self.fleet.changed.wait()
+                    async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
+                        await self.fleet.servers_changed.wait()
         finally:
             for _, task in self._watches.values():
                 task.cancel()
 
-    def _follow_fleet(self) -> None:
+    def _update_watches(self) -> None:
         servers = self.fleet.servers
         for vm, (server, task) in list(self._watches.items()):
-            # A server at another address is another one, of the same name. A watch
-            # that failed is begun anew: without one, its server's last word stays.
+            # A server at another address is a different process of the same name. A
+            # watch that failed is restarted: without a watch, the server's last
+            # reported status would never change.
             if servers.get(vm) is not server or task.done():
                 task.cancel()
                 del self._watches[vm]
@@ -62,41 +63,46 @@
                 self._watches[vm] = server, task
 
     async def _watch(self, server: Server) -> None:
-        # All watches begin with the entry. Their words would come all at once for as
-        # long as it runs, and between them nothing.
-        delay = self._pause() * self.rng.random()
-        failed = 0
+        # All watches start with the entry. The random delay spreads their reports:
+        # otherwise all of them would arrive at the same time in each interval, for as
+        # long as the entry runs.
+        delay = self._report_interval() * self.rng.random()
+        failures = 0
         while True:
-            if await self.fleet.ask(server):
+            if await self.fleet.query(server):
                 await asyncio.sleep(delay)
-                await self._listen(server)
-                delay, failed = SHORTEST_DELAY, 0
+                await self._receive_reports(server)
+                delay, failures = RECONNECT_DELAY_SECONDS, 0
             else:
-                # Asked again soon: when all links were cut for a moment, no server
-                # is left until the first that answers.
-                await asyncio.sleep(_backoff(failed) * (0.5 + self.rng.random() / 2))
-                failed += 1
-
-    async def _listen(self, server: Server) -> None:
-        """Take a server's words in until its stream breaks or goes silent."""
+                # The first retries come soon: after a short interruption of all links
+                # no server is usable until one has responded.
+                await asyncio.sleep(
+                    _backoff_seconds(failures) * (0.5 + self.rng.random() / 2)
+                )
+                failures += 1
+
+    async def _receive_reports(self, server: Server) -> None:
+        """Apply a server's reports until its stream fails or delivers nothing."""
         channel = self.fleet.channels.get(server.address)
-        pause = self._pause()
+        interval = self._report_interval()
         try:
             async with PeersStub(channel).Watch.open() as stream:
-                await stream.send_message(self.fleet.question(server, pause), end=True)
+                await stream.send_message(
+                    self.fleet.status_request(server, interval), end=True
+                )
                 while True:
-                    async with asyncio.timeout(pause + STATUS_TIMEOUT):
+                    async with asyncio.timeout(interval + STATUS_TIMEOUT_SECONDS):
                         reply = await stream.recv_message()
                     if reply is None:
                         return
-                    self.fleet.take(server, reply)
+                    self.fleet.apply_status(server, reply)
         except LINK_FAILURES:
             self.fleet.channels.drop(server.address, channel)
 
-    def _pause(self) -> float:
+    def _report_interval(self) -> float:
         return poll_pause(len(self.fleet.servers))
 
 
-def _backoff(failed: int) -> float:
-    """Seconds until a server that gave no answer is asked again."""
-    return min(LONGEST_BACKOFF, FIRST_BACKOFF * 2**failed)
+def _backoff_seconds(failures: int) -> float:
+    """Return the seconds until a server that did not respond is queried again."""
+    return min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**failures)
--- a/tests/product/conftest.py
+++ b/tests/product/conftest.py
@@ -1,4 +1,4 @@
-"""Certificates made for a test, and an entry that runs in the test's own loop."""
+"""Certificates for tests, and an entry that runs in a test's own event loop."""
 
 import asyncio
 import contextlib
@@ -23,19 +23,19 @@
 )
 from wasabideck_entry import entry as entry_module
 
-# sanic knows its applications by name, so each test's entry has another one.
-NUMBERS = itertools.count()
+# sanic registers its applications by name, so each test's entry has its own name.
+ENTRY_NUMBERS = itertools.count()
 DAY = datetime.timedelta(days=1)
 OPERATOR = "sample-operator-token"
 CALLER = "sample-caller-token"
 OTHER_CALLER = "sample-other-caller-token"
-# Nothing listens on port 1, so the platform is down for a process under test.
-DOWN = "http://127.0.0.1:1"
+# Nothing listens on port 1, so the platform is unavailable to the entry under test.
+UNAVAILABLE_URL = "http://127.0.0.1:1"
 
 
 @define
 class Authority:
-    """A certificate authority of a test."""
+    """A certificate authority for tests."""
 
     folder: object
     name: str
@@ -52,7 +52,7 @@
     file: object = None
 
     def issue(self, vm):
-        """Key files of a VM."""
+        """Issue a certificate for a VM and return its files."""
         key = ec.generate_private_key(ec.SECP256R1())
         certificate = self._sign(vm, key.public_key(), False)
         files = TlsSettings(
@@ -107,7 +107,7 @@
 
 @frozen
 class Running:
-    """An entry that runs in the test's loop."""
+    """The addresses of an entry that runs in the test's event loop."""
 
     inner: str
     http: str
@@ -118,12 +118,14 @@
     def make(**changes):
         values = {
             "process": ProcessSettings(
-                vm=f"entry.{next(NUMBERS)}",
+                vm=f"entry.{next(ENTRY_NUMBERS)}",
                 region="r",
                 data_centre="d",
                 events=str(tmp_path / "entry.events"),
             ),
-            "platform": PlatformSettings(DOWN, DOWN, DOWN),
+            "platform": PlatformSettings(
+                UNAVAILABLE_URL, UNAVAILABLE_URL, UNAVAILABLE_URL
+            ),
             "services": [ServiceSettings("drafting"), ServiceSettings("orders")],
             "operators": [OperatorSettings("one", OPERATOR)],
             "callers": [
@@ -139,26 +141,28 @@
 
 @pytest.fixture
 def run_entry(monkeypatch):
-    """Runs an entry; the context's end stops it gracefully."""
+    """Return a context manager that runs an entry and stops it gracefully."""
 
-    # sanic rewrites its own source for the first application of a process, and
-    # cannot do so for a second one.
+    # sanic rewrites its own code for the first application of a process, which fails
+    # for a second one.
     monkeypatch.setenv("SANIC_TOUCHUP", "false")
 
     @contextlib.asynccontextmanager
     async def run(cfg):
         ready = asyncio.get_running_loop().create_future()
         monkeypatch.setattr(
-            entry_module, "announce_ready", lambda **said: ready.set_result(said)
+            entry_module,
+            "announce_ready",
+            lambda **addresses: ready.set_result(addresses),
         )
         stop = asyncio.Event()
         task = asyncio.create_task(entry_module.serve_entry(cfg, stop))
         await asyncio.wait({task, ready}, return_when=asyncio.FIRST_COMPLETED)
         if task.done():
             task.result()
-        said = ready.result()
+        addresses = ready.result()
         try:
-            yield Running(said["inner"], said["http"])
+            yield Running(addresses["inner"], addresses["http"])
         finally:
             stop.set()
             await task
@@ -167,7 +171,7 @@
 
 
 async def talk(address, data, ssl=None):
-    """All that a server answers to some bytes, until it answered one whole head."""
+    """Send bytes to a server; return the status and body of its first response."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port), ssl=ssl)
     writer.write(data)
--- a/tests/product/test_commands.py
+++ b/tests/product/test_commands.py
@@ -1,4 +1,4 @@
-"""Both commands: help on everything, one clear line and no effect when wrong."""
+"""Command lines of entry and agent: help, and errors of one line without effect."""
 
 import asyncio
 import inspect
@@ -22,7 +22,7 @@
     return str(path)
 
 
-def ended(capsys, *args, group=entry_main._Commands):
+def run_to_exit(capsys, *args, group=entry_main._Commands):
     with pytest.raises(SystemExit) as caught:
         run_commands(group(), "wasabideck", args)
     out, err = capsys.readouterr()
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    ("args", "named"),
+    ("args", "message"),
     [
         ([], "a command is missing"),
         (["ticket"], "a command is missing"),
@@ -42,53 +42,55 @@
         (["report", "--since", "yesterday"], "'yesterday'"),
     ],
 )
-def test_a_wrong_line_exits_2_with_one_line(capsys, monkeypatch, args, named):
+def test_an_invalid_command_line_exits_2_with_one_line_of_error(
+    capsys, monkeypatch, args, message
+):
     monkeypatch.delenv("WASABIDECK_ACCESS", raising=False)
-    code, out, err = ended(capsys, *args)
+    code, out, err = run_to_exit(capsys, *args)
     assert (code, out, err.count("\n")) == (2, "", 1)
-    assert err.startswith("wasabideck: ") and named in err
+    assert err.startswith("wasabideck: ") and message in err
 
 
 def test_a_misspelt_flag_submits_nothing(capsys, monkeypatch, access):
-    # An operator types --jsno after a ticket's file and sees an error. The command
-    # library had called the command before it looked at the rest of the line, so
-    # the ticket was accepted although the operator was told that the line is wrong.
+    # The command library called the command before it parsed the rest of the line. So
+    # a ticket with a misspelt flag after its file was accepted, although the operator
+    # got an error.
     submitted = []
     monkeypatch.setattr(OperatorClient, "submit", lambda _, file: submitted.append(1))
-    code, _, err = ended(
+    code, _, err = run_to_exit(
         capsys, "ticket", "submit", "t.toml", "--access", access, "--jsno"
     )
     assert code == 2 and "--jsno" in err
     assert not submitted
 
 
-def _lines(group, path=()):
+def _command_methods(group, path=()):
     for name, member in inspect.getmembers(group):
         if name.startswith("_"):
             continue
         if inspect.ismethod(member):
             yield (*path, name), member
         else:
-            yield from _lines(member, (*path, name))
+            yield from _command_methods(member, (*path, name))
 
 
 @pytest.mark.parametrize("group", [entry_main._Commands, agent_main._Commands])
 def test_each_command_and_flag_has_help(capsys, group):
-    for path, method in _lines(group()):
-        code, out, _ = ended(capsys, *path, "--help", group=group)
+    for path, method in _command_methods(group()):
+        code, out, _ = run_to_exit(capsys, *path, "--help", group=group)
         assert code == 0
         assert method.__doc__.splitlines()[0] in out
         assert "FIRE" not in out
         for name in list(inspect.signature(method).parameters):
             described = method.__doc__.split(f"\n        {name} : ")[1]
             assert described.splitlines()[1].strip()[:30] in out
-            assert "token" not in name, "an argument is seen by every user"
+            assert "token" not in name, "every user can see an argument"
 
 
-def test_a_lost_answer_to_a_submission_is_unknown_and_exits_3(tmp_path):
-    # An operator submits, and the connection breaks. The ticket may stand already;
-    # told "refused", the operator would number the change anew. The answer was lost
-    # after the write.
+def test_a_lost_response_to_a_submission_is_unknown_and_exits_3(tmp_path):
+    # The connection is lost after the entry has written the ticket and before it
+    # responds. If the command reported "refused", the operator would submit the change
+    # again under another number.
     async def hang_up(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.close()
@@ -117,7 +119,7 @@
 
 
 @pytest.mark.parametrize(
-    ("query", "kept"),
+    ("query", "expected_rows"),
     [
         ({}, [0, 1, 2]),
         ({"ticket": "1"}, [0, 1]),
@@ -128,22 +130,22 @@
         ({"since": "15", "until": "25", "vm": "a"}, [0]),
     ],
 )
-def test_a_report_is_filtered(query, kept):
-    wanted = ReportFilter.from_query(query)
-    assert wanted.keep(ROWS) == [ROWS[i] for i in kept]
-    assert ReportFilter.from_query(wanted.to_query()) == wanted
+def test_a_report_is_filtered(query, expected_rows):
+    report_filter = ReportFilter.from_query(query)
+    assert report_filter.keep(ROWS) == [ROWS[i] for i in expected_rows]
+    assert ReportFilter.from_query(report_filter.to_query()) == report_filter
 
 
 @pytest.mark.parametrize(
     ("name", "value"),
     [("ticket", "-1"), ("ticket", "9" * 30), ("since", "nan"), ("vms", "a")],
 )
-def test_a_wrong_filter_names_field_and_value(name, value):
+def test_an_invalid_filter_is_refused_with_its_field(name, value):
     with pytest.raises(FilterError) as caught:
         ReportFilter.from_query({name: value})
     assert caught.value.field == name
 
 
-def test_a_time_is_utc_unless_it_says_else():
+def test_a_time_without_offset_is_utc():
     assert moment("since", "1970-01-01T00:01:00") == 60
     assert moment("since", "1970-01-01T02:01:00+02:00") == 60
--- a/tests/product/test_identity.py
+++ b/tests/product/test_identity.py
@@ -1,4 +1,4 @@
-"""A request goes no further than its credential allows."""
+"""Authentication of requests before their bodies are read."""
 
 import asyncio
 
@@ -7,14 +7,14 @@
 from attrs import evolve
 from wasabideck_base.process import AddressUnusable
 from wasabideck_base.settings import CallerSettings
-from wasabideck_entry.identity import NotAuthorised, caller_of, check
+from wasabideck_entry.identity import NotAuthorised, authenticate, organisation_of
 
 OPERATOR = "sample-operator-token"
 CALLER = "sample-caller-token"
 OTHER_CALLER = "sample-other-caller-token"
 
 
-def head(path, method="POST", length=1_000_000, **headers):
+def request_head(path, method="POST", length=1_000_000, **headers):
     lines = [f"{method} {path} HTTP/1.1", "host: x", f"content-length: {length}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode()
@@ -43,38 +43,41 @@
 def test_a_wrong_credential_is_refused_before_the_body(
     entry_settings, run_entry, talk, path, headers, status, title
 ):
-    # Whoever has no credential fills an entry's memory with bodies that are refused
-    # only when they are whole. The body is never sent here: only a refusal made
-    # from the head alone can come.
+    # If a body were read before the credential is checked, a client without one could
+    # fill an entry's memory. The test never sends the body, so that only a refusal
+    # based on the head can be received.
     async def body():
         async with run_entry(entry_settings()) as entry:
-            return await talk(entry.http, head(path, **headers))
+            return await talk(entry.http, request_head(path, **headers))
 
-    found, data = asyncio.run(body())
+    received_status, data = asyncio.run(body())
     problem = orjson.loads(data)
-    assert (found, problem["title"]) == (status, title)
+    assert (received_status, problem["title"]) == (status, title)
     if path.startswith("/v1/services"):
         assert problem["outcome"] == "not-run"
 
 
-def test_a_right_credential_is_its_organisations(entry_settings):
+def test_a_valid_credential_identifies_its_owner(entry_settings):
     cfg = entry_settings()
     path = "/v1/services/drafting/brief"
     header = {"authorization": f"Bearer {OTHER_CALLER}"}
-    assert check(cfg, path, header) == "org-2"
-    assert check(cfg, path, header | {"x-organisation": "org-2"}) == "org-2"
-    assert check(cfg, "/v1/report", {"authorization": f"Bearer {OPERATOR}"}) == "one"
-    assert check(cfg, "/ready", {}) == ""
+    assert authenticate(cfg, path, header) == "org-2"
+    assert authenticate(cfg, path, header | {"x-organisation": "org-2"}) == "org-2"
+    assert (
+        authenticate(cfg, "/v1/report", {"authorization": f"Bearer {OPERATOR}"})
+        == "one"
+    )
+    assert authenticate(cfg, "/ready", {}) == ""
 
 
 @pytest.mark.parametrize("header", ["", "Bearer ", CALLER, f"bearer {CALLER}"])
-def test_no_other_form_of_a_credential_is_taken(header):
+def test_other_forms_of_a_credential_are_refused(header):
     with pytest.raises(NotAuthorised):
-        caller_of(header, [CallerSettings("org", CALLER)])
+        organisation_of(header, [CallerSettings("org", CALLER)])
 
 
 @pytest.mark.parametrize("port", ["inner", "http"])
-def test_a_taken_address_is_a_typed_error(entry_settings, run_entry, port):
+def test_an_address_in_use_is_a_typed_error(entry_settings, run_entry, port):
     async def body():
         cfg = entry_settings()
         async with run_entry(cfg) as entry:
--- a/tests/product/test_processes.py
+++ b/tests/product/test_processes.py
@@ -1,4 +1,4 @@
-"""The installed commands as real processes, with keys and signals."""
+"""The installed commands as real processes, with certificates and signals."""
 
 import asyncio
 import sys
@@ -13,8 +13,8 @@
 SERVICES = [{"name": "orders", "kind": "plain", "repeatable": False}]
 
 
-async def operator(*args):
-    """Exit code and output of an operator's command."""
+async def run_operator_command(*args):
+    """Run an operator's command; return its exit code and output."""
     child = await asyncio.create_subprocess_exec(
         str(Path(sys.executable).with_name("wasabideck")),
         *args,
@@ -25,21 +25,23 @@
     return child.returncode, out, err
 
 
-async def servers(access):
-    """The fleet as an entry knows it, once it knows that a server serves."""
+async def serving_servers(access):
+    """Return the serving servers that an entry knows, once there is one."""
     while True:
-        code, out, err = await operator("status", "--access", access, "--json")
+        code, out, err = await run_operator_command(
+            "status", "--access", access, "--json"
+        )
         assert code == 0, err
         if found := [s for s in orjson.loads(out) if s["serving"]]:
             return found
 
 
-def test_a_fleet_with_keys_serves_and_stops_at_the_second_signal(
+def test_a_fleet_with_tls_serves_and_shuts_down_gracefully_on_two_signals(
     tmp_path, fleet_authority
 ):
-    # Whoever rolls the fleet sends SIGTERM again when a VM is slow to leave. The
-    # second one came while the first stop was under way or already over, and killed
-    # the process: a graceful stop was reported as a crash.
+    # During a rollout SIGTERM is sent again to a VM that is slow to shut down. The
+    # second signal arrived during or after the graceful shutdown and killed the
+    # process, so that the shutdown was reported as a crash.
     keys = fleet_authority.issue("vm")
     access = tmp_path / "access.toml"
 
@@ -55,7 +57,7 @@
                 "authority": keys.authority,
             }
             access.write_text(to_toml(cfg))
-            found = await asyncio.wait_for(servers(str(access)), 30)
+            found = await asyncio.wait_for(serving_servers(str(access)), 30)
             for process in lab.processes.values():
                 process.process.terminate()
                 process.process.terminate()
@@ -68,10 +70,12 @@
     assert codes == {"entry-1": 0, "order-1": 0}
 
 
-async def in_force(access):
-    """VMs on which ticket 1 is in force, once there are two."""
+async def vms_in_effect(access):
+    """Return the VMs on which ticket 1 is in effect, once there are two."""
     while True:
-        code, out, _ = await operator("ticket", "status", "1", *access, "--json")
+        code, out, _ = await run_operator_command(
+            "ticket", "status", "1", *access, "--json"
+        )
         if code == 0 and len(vms := orjson.loads(out)["in_force"]) == 2:
             return vms
 
@@ -88,12 +92,12 @@
         first, second = (str(folder / f"ticket-{n}.toml") for n in (1, 2))
         page = str(tmp_path / "timeline.html")
         files = (str(folder / f"{vm}.events") for vm in ("entry-1", "draft-1"))
-        done = [await operator("ticket", "submit", first, *access)]
-        vms = await in_force(access)
+        done = [await run_operator_command("ticket", "submit", first, *access)]
+        vms = await vms_in_effect(access)
         done += [
-            await operator("report", "--ticket", "1", *access),
-            await operator("ticket", "submit", second, *access),
-            await operator("timeline", "--picture", page, *files),
+            await run_operator_command("report", "--ticket", "1", *access),
+            await run_operator_command("ticket", "submit", second, *access),
+            await run_operator_command("timeline", "--picture", page, *files),
         ]
         stop.set()
         await fleet
--- a/tests/product/test_timeline.py
+++ b/tests/product/test_timeline.py
@@ -1,4 +1,4 @@
-"""One time line, one vocabulary, and metrics that are really fed."""
+"""The merged timeline, the documented kinds of events, and metrics fed by events."""
 
 import ast
 from pathlib import Path
@@ -31,7 +31,7 @@
     return [str(entry), str(agent)]
 
 
-def test_events_are_merged_by_stamp_whatever_the_files_order(files):
+def test_events_are_merged_by_timestamp_in_any_order_of_files(files):
     kinds = [event["message_type"] for event in merge_events(files).events]
     assert kinds == ["attempt.sent", "server.died", "attempt.final", "request.final"]
     assert merge_events(files[::-1]).events == merge_events(files).events
@@ -48,9 +48,9 @@
         line(7, "1.0", "x"),
     ],
 )
-def test_half_a_line_of_a_killed_process_is_passed_over(files, tail, capsys):
-    # A VM dies, and its file ends within an event. The time line of the whole
-    # incident could not be shown, just when it was needed.
+def test_an_incomplete_line_of_a_killed_process_is_skipped(files, tail, capsys):
+    # A VM fails while it writes an event, so its file ends with an incomplete line.
+    # The timeline of the whole incident could then not be shown.
     with open(files[1], "ab") as file:
         file.write(tail)
     merged = merge_events(files)
@@ -62,24 +62,24 @@
     assert files[1] in err
 
 
-def test_an_absent_file_is_named(tmp_path):
+def test_an_error_has_the_name_of_a_missing_file(tmp_path):
     with pytest.raises(EventsUnreadable) as caught:
         merge_events([str(tmp_path / "absent")])
     assert "absent" in str(caught.value)
 
 
-def test_the_picture_is_one_page_that_loads_nothing(files):
+def test_the_page_loads_no_external_resources(files):
     page = draw_timeline(merge_events(files).events)
     assert page.count("<circle") == 4
     assert page.count('class="alarm"') == 1
     assert page.count('<line class="cause"') >= 2
     assert "<Answered>" not in page and "&lt;Answered&gt;" in page
-    for loads in ("src=", "href=", "@import", "url("):
-        assert loads not in page
+    for external_reference in ("src=", "href=", "@import", "url("):
+        assert external_reference not in page
     assert "<svg" in draw_timeline([])
 
 
-def emitted():
+def emitted_kinds():
     for file in (ROOT / "packages").glob("*/*/*.py"):
         for node in ast.walk(ast.parse(file.read_text())):
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
@@ -88,7 +88,7 @@
 
 
 def test_processes_speak_one_vocabulary():
-    assert set(emitted()) <= KINDS.keys()
+    assert set(emitted_kinds()) <= KINDS.keys()
 
 
 def test_operations_explains_every_kind_of_event():
@@ -99,8 +99,8 @@
 
 
 def test_every_metric_is_fed_by_events():
-    # An operator's dashboard shows no retries during an outage: the counter was
-    # declared, and nothing ever counted with it.
+    # Guards against counters that are declared but never incremented: a dashboard
+    # showed no retries during an outage.
     metrics = Metrics()
     metrics.count("ticket.seen", {"ticket": 7})
     metrics.count("ticket.seen", {"ticket": 5})
@@ -127,15 +127,15 @@
         assert sample in text
 
 
-def test_requests_of_callers_that_went_away_are_forgotten():
+def test_requests_of_disconnected_callers_are_forgotten():
     metrics = Metrics()
     for number in range(10_050):
         metrics.count("attempt.sent", {"request": str(number)})
     assert len(metrics._tried) == 10_000
 
 
-def errors():
-    """Names of all typed errors, and the reasons of all failures."""
+def error_names():
+    """Yield the names of all typed errors and the reasons of all failures."""
     for file in (ROOT / "packages").glob("wasabideck_[!l]*/*/*.py"):
         for node in ast.walk(ast.parse(file.read_text())):
             if isinstance(node, ast.ClassDef) and not node.name.startswith("_"):
@@ -146,6 +146,6 @@
                     yield node.args[0].value
 
 
-def test_operations_says_what_to_do_about_every_error():
+def test_operations_explains_every_error():
     text = (ROOT / "docs" / "OPERATIONS.md").read_text()
-    assert [name for name in errors() if f"`{name}`" not in text] == []
+    assert [name for name in error_names() if f"`{name}`" not in text] == []
--- a/tests/sessions/test_answers_session.py
+++ b/tests/sessions/test_answers_session.py
@@ -1,4 +1,4 @@
-"""Golden file of one session of answers, refusals and a crash, on small fakes."""
+"""Golden file of one session with responses, refusals and crashes, on small fakes."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class Fleet:
-    """All servers, by service."""
+    """Offers the agents' servers whose VM name starts with the service's name."""
 
     region = "region-1"
 
@@ -25,11 +25,11 @@
     def __init__(self, agents):
         self.agents = agents
 
-    def candidates(self, service, without):
+    def candidates(self, service, excluded):
         return [
             Server(a.vm, service, a.address, manifest="m1", incarnation=a.incarnation)
             for a in self.agents
-            if a.vm.startswith(service) and a.vm not in without
+            if a.vm.startswith(service) and a.vm not in excluded
         ]
 
 
@@ -39,9 +39,13 @@
 
 async def _session(rng):
     now, table = Now(), FakeTable()
-    drafts = [FakeAgent(f"drafting-{i}", table, now, engine=FakeEngine()) for i in "12"]
-    orders = [FakeAgent(f"orders-{i}", table, now, plain=FakePlain()) for i in "12"]
-    agents = [await agent.serve() for agent in drafts + orders]
+    draft_agents = [
+        FakeAgent(f"drafting-{i}", table, now, engine=FakeEngine()) for i in "12"
+    ]
+    order_agents = [
+        FakeAgent(f"orders-{i}", table, now, plain=FakePlain()) for i in "12"
+    ]
+    agents = [await agent.serve() for agent in draft_agents + order_agents]
     events = FakeEvents()
     caller = Caller(
         Fleet(agents),
@@ -60,21 +64,21 @@
         steps[name] = await _shown(caller, *args, **kw)
 
     await step("a draft", "drafting", b"banner for the fair")
-    drafts[0].engine.dies_at = 2
+    draft_agents[0].engine.dies_at = 2
     await step("its server dies midway", "drafting", b"proof note")
-    drafts[0].engine.dies_at = None
+    draft_agents[0].engine.dies_at = None
     await step("an order", "orders", b"20 banners", "k1")
-    while any(a.runner.once.unrecorded for a in orders):
+    while any(a.runner.once.unrecorded for a in order_agents):
         await asyncio.sleep(0)
     await step("the same order again", "orders", b"20 banners", "k1")
     await step("its key with another body", "orders", b"30 banners", "k1")
     table.plan = ["down", "down"]
     await step("the store is down", "orders", b"5 flags", "k2")
     await step("the same key, the store back", "orders", b"5 flags", "k2")
-    orders[0].plain.ends = [ServerFailed("fake", "status 500")]
+    order_agents[0].plain.ends = [ServerFailed("fake", "status 500")]
     await step("it ran and answered 500", "orders", b"1 sign", "k3")
     await step("its key again", "orders", b"1 sign", "k3", again=True)
-    for agent in drafts:
+    for agent in draft_agents:
         agent.engine.dies_at = 0
     await step("it crashes its servers", "drafting", b"boom")
     await step("and is sent again", "drafting", b"boom")
@@ -85,7 +89,7 @@
         "steps": steps,
         "entry": [_event(e) for e in events.kept],
         "agents": {a.vm: [_event(e) for e in a.events.kept] for a in agents},
-        "runs": {a.vm: a.plain.runs for a in orders},
+        "runs": {a.vm: a.plain.runs for a in order_agents},
         "claims": {k: [r["vm"], r["state"]] for k, r in sorted(table.rows.items())},
     }
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What an entry makes of the list and of agents' answers, with fakes for both."""
+"""Choice of servers from the platform's list and the agents' status, with fakes."""
 
 import asyncio
 
@@ -13,12 +13,12 @@
 
 
 class Agents:
-    """Agents by address: their answers, and those that answer nothing."""
+    """Fake agents by address, some of which do not respond."""
 
     def __init__(self):
         self.replies = {}
-        self.silent = set()
-        self.asked = 0
+        self.unresponsive = set()
+        self.query_count = 0
 
     def get(self, address):
         return address
@@ -36,8 +36,8 @@
         self.agents, self.address = agents, address
 
     async def Status(self, req, timeout):
-        self.agents.asked += 1
-        if self.address in self.agents.silent:
+        self.agents.query_count += 1
+        if self.address in self.agents.unresponsive:
             raise TimeoutError
         return self.agents.replies[self.address]
 
@@ -61,63 +61,65 @@
 @pytest.fixture
 def fleet(agents, now):
     fleet = Fleet("entry-1", agents, clock=lambda: now[0])
-    fleet.take_members(listed("a", "b", "c"))
+    fleet.update_members(member_list("a", "b", "c"))
     return fleet
 
 
-def listed(*vms):
+def member_list(*vms):
     agents = [Member(vm, AGENT, vm, service=SERVICE) for vm in vms]
     return [Member("entry-1", ENTRY, "e"), *agents]
 
 
-def usable(fleet):
-    asyncio.run(fleet.ask_all())
+def query_and_list_candidates(fleet):
+    asyncio.run(fleet.query_all())
     return {server.vm for server in fleet.candidates(SERVICE, set())}
 
 
-def test_one_round_of_questions_makes_a_restarted_entry_useful(fleet):
+def test_one_round_of_queries_finds_the_usable_servers(fleet):
     assert not fleet.candidates(SERVICE, set())
-    assert usable(fleet) == {"a", "b", "c"}
+    assert query_and_list_candidates(fleet) == {"a", "b", "c"}
 
 
-def test_a_frozen_agent_is_left_out_and_returns(fleet, agents):
-    agents.silent.add("a")
-    assert usable(fleet) == {"b", "c"}
-    agents.silent.clear()
-    assert usable(fleet) == {"a", "b", "c"}
+def test_a_suspended_agent_is_not_used_until_it_responds(fleet, agents):
+    agents.unresponsive.add("a")
+    assert query_and_list_candidates(fleet) == {"b", "c"}
+    agents.unresponsive.clear()
+    assert query_and_list_candidates(fleet) == {"a", "b", "c"}
 
 
-def test_an_agent_that_said_it_leaves_stays_left_though_the_list_calls_it_live(
+def test_an_agent_that_reports_shutdown_is_not_used_again_while_still_listed(
     fleet, agents
 ):
     agents.replies["a"].leaving = True
-    assert usable(fleet) == {"b", "c"}
-    fleet.take_members(listed("a", "b", "c"))
-    assert usable(fleet) == {"b", "c"}
+    assert query_and_list_candidates(fleet) == {"b", "c"}
+    fleet.update_members(member_list("a", "b", "c"))
+    assert query_and_list_candidates(fleet) == {"b", "c"}
 
 
-def test_a_list_that_comes_back_short_takes_no_working_server_away(fleet, now):
-    assert usable(fleet) == {"a", "b", "c"}
+def test_an_incomplete_list_does_not_remove_a_responding_server(fleet, now):
+    assert query_and_list_candidates(fleet) == {"a", "b", "c"}
     now[0] += 1.0
-    fleet.take_members(listed("a"))
-    assert usable(fleet) == {"a", "b", "c"}
+    fleet.update_members(member_list("a"))
+    assert query_and_list_candidates(fleet) == {"a", "b", "c"}
 
 
-def test_a_server_that_fails_its_requests_is_left_out_though_it_answers(fleet, now):
-    # Its engine is broken and the agent beside it is well, so that its status is
-    # good; each request it is given fails at once, and it looks the least loaded.
-    assert usable(fleet) == {"a", "b", "c"}
+def test_a_server_that_fails_its_requests_is_not_used_though_its_status_is_good(
+    fleet, now
+):
+    # The engine is broken while its agent works, so the reported status is good. Each
+    # request fails at once, so that the server appears to be the least loaded.
+    assert query_and_list_candidates(fleet) == {"a", "b", "c"}
     refused = NotRun(Failure("ServerRefused", "503"))
     for _ in range(3):
         fleet.observe(fleet.servers["a"], refused)
-    assert usable(fleet) == {"b", "c"}
+    assert query_and_list_candidates(fleet) == {"b", "c"}
     now[0] += 10.0
-    assert usable(fleet) == {"a", "b", "c"}
+    assert query_and_list_candidates(fleet) == {"a", "b", "c"}
     fleet.observe(fleet.servers["a"], Answered())
 
 
-def test_overload_is_no_fault_of_a_server(fleet):
-    assert usable(fleet) == {"a", "b", "c"}
+def test_refusals_by_overload_do_not_exclude_a_server(fleet):
+    assert query_and_list_candidates(fleet) == {"a", "b", "c"}
     for _ in range(10):
         fleet.observe(fleet.servers["a"], NotRun(Failure("Overloaded"), 1.0))
-    assert usable(fleet) == {"a", "b", "c"}
+    assert query_and_list_candidates(fleet) == {"a", "b", "c"}
