--- a/packages/wasabideck_agent/wasabideck_agent/agent.py
+++ b/packages/wasabideck_agent/wasabideck_agent/agent.py
@@ -7,26 +7,26 @@
 import time
 
 from attrs import define, field
-from wasabideck_base.channels import LINK_FAILURES, Channels
-from wasabideck_base.clients import Platform
+from wasabideck_base.channels import CALL_FAILURES, Channels
 from wasabideck_base.events import Events
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.metrics import Metrics
-from wasabideck_base.settings import PLAIN, AgentSettings
-from wasabideck_base.spread import PeersService, Spread
+from wasabideck_base.platform_clients import PlatformClients
+from wasabideck_base.settings import PLAIN_KIND, AgentSettings
+from wasabideck_base.ticket_replication import PeersService, TicketReplication
 from wasabideck_policy.manifests import Manifest
-from wasabideck_policy.membership import AGENT, Member, Watch, watched
+from wasabideck_policy.membership import AGENT, FailureTracker, Member, entries_to_query
 from wasabideck_wire import inner_pb2 as pb
 
 from .chunk_store import ChunkStore
 from .chunks_service import ChunksService
 from .delivery_rows import DeliveryRows
+from .engine_orders import Orders
 from .links import Links
-from .load import LoadReader
+from .load_reader import LoadReader
 from .manifest_reader import ManifestReader
-from .orders import Orders
 from .peer_calls import grpc_calls
-from .runs import Runner
+from .runner import Runner
 from .transfer import Transfer
 
 __all__ = ["Agent"]
@@ -39,8 +39,8 @@
     cfg: AgentSettings
     events: Events
     channels: Channels
-    platform: Platform
-    ticket_replication: Spread
+    platform: PlatformClients
+    ticket_replication: TicketReplication
     runner: Runner
     store: ChunkStore
     chunks_service: ChunksService
@@ -49,7 +49,7 @@
     load_reader: LoadReader
     delivery_rows: DeliveryRows
     members: list[Member] = field(factory=list)
-    watch: Watch = field(factory=Watch)
+    watch: FailureTracker = field(factory=FailureTracker)
     orders: Orders | None = None
     peers_service: PeersService | None = None
 
@@ -77,8 +77,8 @@
         return pb.StatusReply(
             vm=self.vm,
             service=self.cfg.server.service,
-            leaving=gate.leaving,
-            serving=gate.open,
+            leaving=gate.draining,
+            serving=gate.accepting,
             ticket=self.runner.serving.fence,
             version=self.runner.serving.version,
             manifest=self.runner.serving.manifest,
@@ -87,7 +87,7 @@
             capacity=gate.capacity,
             load=self.load_reader.load,
             load_at=self.load_reader.reported_at,
-            service_time=gate.service_time,
+            service_time=gate.service_seconds,
             cached_prefixes=sent_prefixes,
             cache_changes=changes,
             incarnation=self.runner.attempts.arrivals.incarnation,
@@ -133,29 +133,29 @@
 
         It is read from the table until they have sent enough of it.
         """
-        members = watched(self.vm, self.members, self.watch, time.monotonic())
+        members = entries_to_query(self.vm, self.members, self.watch, time.monotonic())
         await asyncio.gather(*(self._sync_with(m, len(members)) for m in members))
-        if not self.ticket_replication.heard:
+        if not self.ticket_replication.ready:
             try:
                 await self.ticket_replication.poll(self.platform.table)
             except PlatformUnavailable as exc:
                 self.events.emit("table.unavailable", why=str(exc))
-        if self.cfg.server.kind == PLAIN:
-            self.runner.gate.open = self.ticket_replication.heard
+        if self.cfg.server.kind == PLAIN_KIND:
+            self.runner.gate.accepting = self.ticket_replication.ready
 
     async def _sync_with(self, member: Member, listed: int) -> None:
         channel = self.channels.get(member.address)
         try:
             await self.ticket_replication.sync(member.vm, channel, listed)
-        except LINK_FAILURES:
-            self.channels.drop(member.address, channel)
-            self.watch.failed(member.vm, time.monotonic())
+        except CALL_FAILURES:
+            self.channels.close_channel(member.address, channel)
+            self.watch.record_failure(member.vm, time.monotonic())
 
     def update_link_metrics(self) -> None:
         """Set the metrics of the links to the bytes transmitted so far."""
         for name in ("up", "down", "region"):
-            transmitted = getattr(self.links, name).passed
-            self.metrics.link.set({"direction": name}, transmitted)
+            transmitted = getattr(self.links, name).transmitted_bytes
+            self.metrics.weight_link_bytes.set({"direction": name}, transmitted)
 
     async def clean_up_attempts(self) -> None:
         """Forget attempts that ended long ago; stop attempts without a reader."""
--- a/packages/wasabideck_agent/wasabideck_agent/assembly.py
+++ b/packages/wasabideck_agent/wasabideck_agent/assembly.py
@@ -7,34 +7,34 @@
 
 import aiohttp
 from wasabideck_base.channels import Channels
-from wasabideck_base.clients import connect_platform
 from wasabideck_base.events import Events
-from wasabideck_base.http import HttpClient
+from wasabideck_base.http_client import HttpClient
 from wasabideck_base.metrics import Metrics
-from wasabideck_base.process import repeating
-from wasabideck_base.servers import Engine, PlainService
-from wasabideck_base.settings import PLAIN, AgentSettings
-from wasabideck_base.spread import PeersService, Spread
-from wasabideck_base.tls import Keys
-from wasabideck_policy.admission import Gate
-from wasabideck_policy.arrivals import Arrivals
-from wasabideck_policy.concurrency import AdaptiveLimit
-from wasabideck_policy.orders import OrderBook
+from wasabideck_base.platform_clients import create_platform_clients
+from wasabideck_base.process import periodic_with_events
+from wasabideck_base.server_clients import ModelEngineClient, PlainServiceClient
+from wasabideck_base.settings import PLAIN_KIND, AgentSettings
+from wasabideck_base.ticket_replication import PeersService, TicketReplication
+from wasabideck_base.tls import TlsContexts
+from wasabideck_policy.admission import AdmissionControl
+from wasabideck_policy.attempt_registry import AttemptRegistry
+from wasabideck_policy.concurrency_limit import AdaptiveConcurrencyLimit
+from wasabideck_policy.orders import OrderState
 
 from .agent import Agent
+from .at_most_once import AtMostOnce, Holder
 from .attempts import Attempts
 from .chunk_store import ChunkStore
 from .chunks_service import ChunksService
 from .claim_store import ClaimStore
 from .delivery_rows import DeliveryRows
+from .engine_orders import Orders
 from .links import Link, Links
-from .load import LOAD_POLL_INTERVAL_SECONDS, LoadReader
-from .once import Holder, Once
-from .orders import Orders
-from .reconcile import Reconciler
-from .runs import Runner
+from .load_reader import LOAD_POLL_INTERVAL_SECONDS, LoadReader
+from .reconciler import Reconciler
+from .runner import Runner
 from .runs_service import RunsService
-from .swap_turns import SwapScheduler, make_status_query
+from .swap_scheduler import SwapScheduler, make_status_query
 
 __all__ = ["assemble_agent", "background_loops", "inner_services"]
 
@@ -47,31 +47,35 @@
     cfg: AgentSettings,
     events: Events,
     session: aiohttp.ClientSession,
-    keys: Keys | None,
+    keys: TlsContexts | None,
 ) -> Agent:
     """Return an agent with its settings; nothing is sent or started yet."""
-    platform = connect_platform(cfg.platform, session)
+    platform = create_platform_clients(cfg.platform, session)
     http = HttpClient(cfg.server.url, cfg.platform.timeout_seconds, session)
-    plain = cfg.server.kind == PLAIN
+    plain = cfg.server.kind == PLAIN_KIND
     channels = Channels(events.clock, keys and keys.inner_client)
-    ticket_replication = Spread(cfg.process.vm, events)
+    ticket_replication = TicketReplication(cfg.process.vm, events)
     # Never derived from the seed: a process that restarts with the same settings must
     # be distinguishable from the one that died.
     incarnation = uuid.uuid4().hex
     holder = Holder(cfg.process.vm, "", incarnation)
     runner = Runner(
         vm=cfg.process.vm,
-        gate=Gate(cfg.server.capacity),
+        gate=AdmissionControl(cfg.server.capacity),
         events=events,
-        engine=None if plain else Engine(http),
-        plain=PlainService(http) if plain else None,
-        once=Once(holder, ClaimStore(platform.table, events), channels, events),
-        attempts=Attempts(Arrivals(incarnation)),
+        engine=None if plain else ModelEngineClient(http),
+        plain=PlainServiceClient(http) if plain else None,
+        at_most_once=AtMostOnce(
+            holder, ClaimStore(platform.table, events), channels, events
+        ),
+        attempts=Attempts(AttemptRegistry(incarnation)),
         quarantine=ticket_replication.quarantine,
     )
     if not cfg.server.reports_load:
         capacity = cfg.server.capacity
-        runner.slots.limit = AdaptiveLimit(limit=capacity, most=capacity)
+        runner.slots.limit = AdaptiveConcurrencyLimit(
+            limit=capacity, max_limit=capacity
+        )
     store = ChunkStore()
     rate = cfg.weights.link_rate
     links = Links(Link(rate), Link(rate), Link(cfg.weights.region_rate))
@@ -99,7 +103,7 @@
 
 def background_loops(agent: Agent) -> list:
     """Return an agent's endless loops, as coroutines to run concurrently."""
-    every = repeating(agent.events)
+    every = periodic_with_events(agent.events)
     loops = [
         every(agent.cfg.platform.poll_seconds, agent.read_members),
         every(SYNC_INTERVAL_SECONDS, agent.sync_tickets),
@@ -119,7 +123,7 @@
         agent.runner.engine,
         agent.runner,
         agent.events,
-        OrderBook(agent.cfg.server.checks_fencing),
+        OrderState(agent.cfg.server.checks_fencing),
         lambda: reconciler.desired_weights(),
     )
     scheduler = SwapScheduler(
--- a/packages/wasabideck_agent/wasabideck_agent/once.py
+++ b/packages/wasabideck_agent/wasabideck_agent/at_most_once.py
@@ -7,20 +7,20 @@
 from collections.abc import Awaitable, Callable
 
 from attrs import define, field
-from wasabideck_base.channels import LINK_FAILURES, Channels
-from wasabideck_base.claim_rows import stored_answer
+from wasabideck_base.channels import CALL_FAILURES, Channels
+from wasabideck_base.claim_rows import stored_response
 from wasabideck_base.events import Events
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
-from wasabideck_policy.claims import Claim, Verdict
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
+from wasabideck_policy.claims import Claim, Decision
 from wasabideck_policy.outcomes import Answered, Failure, NotRun, Outcome, Unknown
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.convert import outcome_from
+from wasabideck_wire.convert import outcome_from_final
 from wasabideck_wire.inner_grpc import RunsStub
 
 from .attempts import Attempt
 from .claim_store import ClaimStore, ClaimUnresolved
 
-__all__ = ["Holder", "Once"]
+__all__ = ["Holder", "AtMostOnce"]
 
 HOLDER_TIMEOUT_SECONDS = 3.0
 # An entry whose connection broke opens a new one within this time. An entry that
@@ -45,7 +45,7 @@
 
 
 @define
-class Once:
+class AtMostOnce:
     """Runs each idempotency key at most once, however often it is sent.
 
     Attributes
@@ -86,13 +86,13 @@
         return Unknown(Failure("ClaimHeld", "its holder has not released it"), 1.0)
 
     @property
-    def unrecorded(self) -> int:
+    def pending_records(self) -> int:
         """Number of answers that are not yet stored in the table."""
         return len(self._record_tasks)
 
-    async def _take_claim(self, claim: Claim) -> Verdict:
+    async def _take_claim(self, claim: Claim) -> Decision:
         try:
-            return await self.claims.take(claim)
+            return await self.claims.acquire(claim)
         except (ClaimUnresolved, asyncio.CancelledError):
             # The insert may have taken effect or may still do so, but nothing will
             # run under this claim.
@@ -100,7 +100,7 @@
             raise
 
     async def _apply_verdict(
-        self, verdict: Verdict, claim: Claim, attempt: Attempt, serve: Serve
+        self, verdict: Decision, claim: Claim, attempt: Attempt, serve: Serve
     ) -> Outcome:
         if verdict.action == "run":
             return await self._run_claimed(claim, attempt, serve)
@@ -113,7 +113,7 @@
                 Failure("Cancelled", "its entry barred it from the claim"), settled=True
             )
         if verdict.action == "replay":
-            attempt.add_event(piece=pb.Piece(data=stored_answer(verdict.claim)))
+            attempt.add_event(piece=pb.Piece(data=stored_response(verdict.claim)))
             return Answered(replayed=True)
         return await self._query_holder(verdict.claim, attempt)
 
@@ -167,8 +167,8 @@
         )
         try:
             return await self._follow_holder(RunsStub(channel), req, attempt)
-        except LINK_FAILURES as exc:
-            self.channels.drop(held.address, channel)
+        except CALL_FAILURES as exc:
+            self.channels.close_channel(held.address, channel)
             why = f"{held.vm}: {exc or type(exc).__name__}"
             return Unknown(Failure("HolderGone", why), 2.0)
 
@@ -188,7 +188,7 @@
                 if event.HasField("piece"):
                     data.append(event.piece.data)
                 if event.HasField("final"):
-                    return _copy_answer(outcome_from(event.final), data, attempt)
+                    return _copy_answer(outcome_from_final(event.final), data, attempt)
             await stream.cancel()
         return Unknown(Failure("ClaimHeld", "it is still running elsewhere"), 1.0)
 
@@ -212,6 +212,6 @@
     return Answered(replayed=True)
 
 
-def _is_being_released(verdict: Verdict, outcome: Outcome) -> bool:
+def _is_being_released(verdict: Decision, outcome: Outcome) -> bool:
     """Whether the claim's holder reports that it did not run the call."""
     return verdict.action == "ask-holder" and isinstance(outcome, NotRun)
--- a/packages/wasabideck_agent/wasabideck_agent/attempts.py
+++ b/packages/wasabideck_agent/wasabideck_agent/attempts.py
@@ -8,10 +8,10 @@
 from contextlib import contextmanager
 
 from attrs import define, field
-from wasabideck_policy.arrivals import Arrivals
+from wasabideck_policy.attempt_registry import AttemptRegistry
 from wasabideck_policy.outcomes import Outcome
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.convert import final_from
+from wasabideck_wire.convert import outcome_to_final
 
 __all__ = ["Attempt", "Attempts", "EventsForgotten"]
 
@@ -91,7 +91,7 @@
         """Append the final event, unless there is one."""
         if self.ended_at is None:
             self.ended_at = now
-            self.final = final_from(outcome)
+            self.final = outcome_to_final(outcome)
             self.add_event(final=self.final)
             # The attempt is kept for another minute, and the bodies are most of it.
             self.req.ClearField("body")
@@ -170,7 +170,7 @@
         self._notify()
 
     @contextmanager
-    def reading(self, clock: Callable[[], float]) -> Iterator[None]:
+    def attach_reader(self, clock: Callable[[], float]) -> Iterator[None]:
         """Count one more reader inside the ``with`` block."""
         self.readers += 1
         self._notify()
@@ -199,7 +199,7 @@
 class Attempts:
     """All attempts that this agent process keeps, by id."""
 
-    arrivals: Arrivals
+    arrivals: AttemptRegistry
     _by_id: dict[str, Attempt] = field(factory=dict)
 
     def get(self, attempt_id: str) -> Attempt | None:
@@ -226,8 +226,8 @@
         """Drop attempts that ended, or were cancelled, long ago."""
         for attempt_id, attempt in self._by_id.items():
             if attempt.ended_at is not None and not attempt.record_pending:
-                self.arrivals.end(attempt_id, attempt.ended_at)
-        for attempt_id in self.arrivals.forget_old(now):
+                self.arrivals.record_end(attempt_id, attempt.ended_at)
+        for attempt_id in self.arrivals.remove_expired(now):
             self._by_id.pop(attempt_id, None)
         self._drop_oldest_events()
 
--- a/packages/wasabideck_agent/wasabideck_agent/chunk_http.py
+++ b/packages/wasabideck_agent/wasabideck_agent/chunk_http.py
@@ -16,8 +16,8 @@
 import httptools
 from google.protobuf.message import DecodeError, Message
 from wasabideck_base.addresses import split_address
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
 from wasabideck_base.http_pool import HttpPool, PooledClient
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
 from wasabideck_wire import inner_pb2 as pb
 
 from .chunks_service import ChunksService
@@ -69,7 +69,7 @@
         return _decoded(pb.HoldingsReply, data)
 
     return PeerCalls(
-        fetch, holdings, lambda address: pool.drop_idle(_chunk_address(address))
+        fetch, holdings, lambda address: pool.discard_idle(_chunk_address(address))
     )
 
 
--- a/packages/wasabideck_agent/wasabideck_agent/chunk_store.py
+++ b/packages/wasabideck_agent/wasabideck_agent/chunk_store.py
@@ -24,36 +24,36 @@
         """Return a known manifest, or None."""
         return self._manifests.get(digest)
 
-    def know(self, manifest: Manifest) -> None:
+    def add_manifest(self, manifest: Manifest) -> None:
         """Add a manifest; stored chunks that it shares with others count at once."""
         digest = manifest.digest
         if digest not in self._manifests:
             self._manifests[digest] = manifest
             self._held[digest] = self._held_mask(manifest)
 
-    def add(self, digest: str, data: bytes, source: str) -> None:
+    def add_chunk(self, digest: str, data: bytes, source: str) -> None:
         """Store a chunk; raise ``CorruptChunk`` unless its bytes have the digest."""
         verify_chunk(data, digest, source)
         if digest in self._chunks:
             return
         self._chunks[digest] = data
         for name, manifest in self._manifests.items():
-            for index in manifest.places.get(digest, ()):
+            for index in manifest.chunk_indices.get(digest, ()):
                 self._held[name] |= 1 << index
 
     def get(self, digest: str) -> bytes | None:
         """Return a chunk's bytes, or None."""
         return self._chunks.get(digest)
 
-    def held(self, manifest: Manifest) -> int:
+    def held_chunks(self, manifest: Manifest) -> int:
         """Return the bit mask of the manifest's chunks that are stored."""
         return self._held.get(manifest.digest) or self._held_mask(manifest)
 
-    def whole(self, manifest: Manifest) -> bool:
+    def is_complete(self, manifest: Manifest) -> bool:
         """Whether every chunk of the manifest is stored."""
-        return self.held(manifest).bit_count() == len(manifest.chunks)
+        return self.held_chunks(manifest).bit_count() == len(manifest.chunks)
 
-    def keep_only(self, digests: set[str]) -> None:
+    def keep_manifests(self, digests: set[str]) -> None:
         """Drop all other manifests, and chunks that none of the remaining ones list."""
         self._manifests = {d: m for d, m in self._manifests.items() if d in digests}
         self._held = {d: mask for d, mask in self._held.items() if d in digests}
--- a/packages/wasabideck_agent/wasabideck_agent/chunks_service.py
+++ b/packages/wasabideck_agent/wasabideck_agent/chunks_service.py
@@ -171,7 +171,7 @@
 
     def _bitmap(self, digest: str) -> bytes:
         manifest = self.store.manifest(digest)
-        return to_bitmap(self.store.held(manifest)) if manifest else b""
+        return to_bitmap(self.store.held_chunks(manifest)) if manifest else b""
 
     def _chunk(self, req: pb.FetchRequest) -> bytes | None:
         manifest: Manifest | None = self.store.manifest(req.manifest)
--- a/packages/wasabideck_agent/wasabideck_agent/claim_batch.py
+++ b/packages/wasabideck_agent/wasabideck_agent/claim_batch.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from attrs import define, field
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.table import Check, CheckFailed, Table, Write
 
 __all__ = ["ClaimBatch"]
@@ -27,14 +27,14 @@
     """Executes conditional writes of single rows, many in one transaction.
 
     No write is delayed to fill a batch: it is sent at once while fewer than
-    ``senders`` transactions are in flight. Writes that arrive in the meantime are
+    ``max_senders`` transactions are in flight. Writes that arrive in the meantime are
     sent together in the next transaction.
 
     Attributes
     ----------
     max_rows : int
         Maximum number of rows in one transaction.
-    senders : int
+    max_senders : int
         Maximum number of transactions in flight.
     transactions, rows : int
         Number of transactions and rows sent so far.
@@ -44,7 +44,7 @@
     transactions: int = 0
     rows: int = 0
     max_rows: int = MAX_BATCH_ROWS
-    senders: int = MAX_SENDERS
+    max_senders: int = MAX_SENDERS
     _pending: list[_PendingWrite] = field(factory=list)
     _sender_tasks: set[asyncio.Task] = field(factory=set)
 
@@ -61,7 +61,7 @@
             check, write, asyncio.get_running_loop().create_future()
         )
         self._pending.append(pending)
-        if len(self._sender_tasks) < self.senders:
+        if len(self._sender_tasks) < self.max_senders:
             sender = asyncio.create_task(self._send_all())
             self._sender_tasks.add(sender)
             sender.add_done_callback(self._sender_tasks.discard)
--- a/packages/wasabideck_agent/wasabideck_agent/claim_store.py
+++ b/packages/wasabideck_agent/wasabideck_agent/claim_store.py
@@ -6,20 +6,20 @@
 import base64
 
 from attrs import asdict, define, evolve, field
-from wasabideck_base.claim_rows import CLAIMS, claim_write, read_claim
+from wasabideck_base.claim_rows import CLAIMS_TABLE, conditional_claim_write, read_claim
 from wasabideck_base.events import Events
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.table import Check, CheckFailed, Table, Write
 from wasabideck_policy.claims import (
     DONE,
     RELEASED,
     RUNNING,
     Claim,
-    Verdict,
+    Decision,
+    as_released,
     claim_key,
-    following,
-    judge,
-    released,
+    decide,
+    next_row,
 )
 
 from .claim_batch import ClaimBatch
@@ -66,7 +66,7 @@
         """Create the batch through which all writes share transactions."""
         self.batch = ClaimBatch(self.table)
 
-    async def take(self, claim: Claim) -> Verdict:
+    async def acquire(self, claim: Claim) -> Decision:
         """Insert a claim; the verdict says whether its holder may run the call.
 
         Raises
@@ -99,7 +99,9 @@
         row = asdict(evolve(claim, state=DONE, answer=text))
         held = {"attempt": claim.attempt, "state": RUNNING}
         key = claim_key(claim.organisation, claim.key)
-        await self.batch.put(Check(CLAIMS, key, held), Write(CLAIMS, key, row))
+        await self.batch.put(
+            Check(CLAIMS_TABLE, key, held), Write(CLAIMS_TABLE, key, row)
+        )
 
     async def store_answer_with_retries(self, claim: Claim, answer: bytes) -> None:
         """Store the answer of a run; retry for as long as the table is unavailable."""
@@ -135,7 +137,7 @@
         """Number of claims that may still be held although nothing runs under them."""
         return len(self._release_tasks)
 
-    async def _take_once(self, claim: Claim, found: Claim | None) -> Verdict:
+    async def _take_once(self, claim: Claim, found: Claim | None) -> Decision:
         try:
             failed = await self._put(found, claim)
         except PlatformUnavailable as exc:
@@ -143,12 +145,12 @@
                 raise
             return await self._resolve_lost_write(claim, found, exc)
         if failed is None:
-            return Verdict("run", claim)
-        return judge(claim, Claim(**failed.found))
+            return Decision("run", claim)
+        return decide(claim, Claim(**failed.found))
 
     async def _resolve_lost_write(
         self, claim: Claim, found: Claim | None, lost: PlatformUnavailable
-    ) -> Verdict:
+    ) -> Decision:
         """Find out whether an insert whose response was lost has taken effect."""
         try:
             now = await self.read(claim)
@@ -156,13 +158,13 @@
                 # The insert has not taken effect but still may. Writing a released
                 # row of this attempt makes the late insert fail its check; the claim
                 # is then taken again on top of that row.
-                barred = await self._put(found, released(claim))
-                now = following(found, released(claim))
+                barred = await self._put(found, as_released(claim))
+                now = next_row(found, as_released(claim))
                 if barred is not None:
                     now = Claim(**barred.found)
         except PlatformUnavailable as exc:
             raise ClaimUnresolved(exc.url, str(exc)) from lost
-        return judge(claim, now)
+        return decide(claim, now)
 
     async def _release_with_retries(self, claim: Claim) -> None:
         while True:
@@ -178,10 +180,10 @@
         found = await self.read(claim)
         ours = found is not None and found.attempt == claim.attempt
         if found is None or found.state == RELEASED or ours:
-            return await self._put(found, released(claim)) is None
+            return await self._put(found, as_released(claim)) is None
         # The row belongs to another attempt, running or done. No insert of this
         # attempt passes its check any more.
         return True
 
     async def _put(self, found: Claim | None, row: Claim) -> CheckFailed | None:
-        return await self.batch.put(*claim_write(found, row))
+        return await self.batch.put(*conditional_claim_write(found, row))
--- a/packages/wasabideck_agent/wasabideck_agent/deliveries_log.py
+++ b/packages/wasabideck_agent/wasabideck_agent/delivery_log.py
@@ -5,12 +5,12 @@
 import orjson
 from attrs import asdict, define, field, fields
 from wasabideck_base.rows import Row, RowStore, RowWrite, WriteConflict
-from wasabideck_policy.deliveries import Delivery, row_key
+from wasabideck_policy.delivery_row import Delivery, delivery_key
 from wasabideck_policy.outcomes import WasabideckError
 
-__all__ = ["DELIVERIES", "DeliveriesLog", "MalformedDelivery", "delivery_of"]
+__all__ = ["DELIVERIES_TABLE", "DeliveryLog", "MalformedDelivery", "parse_delivery"]
 
-DELIVERIES = "wasabideck-deliveries"
+DELIVERIES_TABLE = "wasabideck-deliveries"
 # Version of a row that does not exist.
 ABSENT = 0
 
@@ -21,13 +21,13 @@
     status = 400
 
     def __init__(self, key: str, name: str, value: object):
-        super().__init__(f"{DELIVERIES}/{key}: {name} = {value!r}"[:300])
+        super().__init__(f"{DELIVERIES_TABLE}/{key}: {name} = {value!r}"[:300])
         self.key = key
         self.field = name
         self.value = value
 
 
-def delivery_of(row: Row) -> Delivery:
+def parse_delivery(row: Row) -> Delivery:
     """Return the delivery of a row; raise ``MalformedDelivery`` if it is malformed."""
     try:
         data = orjson.loads(row.value)
@@ -51,7 +51,7 @@
 
 
 @define
-class DeliveriesLog:
+class DeliveryLog:
     """Delivery rows that are kept in memory until the store has them."""
 
     store: RowStore
@@ -98,4 +98,6 @@
 
 
 def _row_write(delivery: Delivery) -> RowWrite:
-    return RowWrite(DELIVERIES, row_key(delivery), orjson.dumps(asdict(delivery)))
+    return RowWrite(
+        DELIVERIES_TABLE, delivery_key(delivery), orjson.dumps(asdict(delivery))
+    )
--- a/packages/wasabideck_agent/wasabideck_agent/delivery_rows.py
+++ b/packages/wasabideck_agent/wasabideck_agent/delivery_rows.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from attrs import asdict, define, field
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
 from wasabideck_base.table import Check, Table, Write
-from wasabideck_policy.deliveries import Delivery, row_key
+from wasabideck_policy.delivery_row import Delivery, delivery_key
 
 __all__ = ["DeliveryRows"]
 
@@ -22,7 +22,7 @@
 
     def add(self, delivery: Delivery) -> None:
         """Schedule the write of a delivery's row."""
-        key = row_key(delivery)
+        key = delivery_key(delivery)
         self._pending[key] = Write(DELIVERIES_TABLE, key, asdict(delivery))
         self._pending_if_absent.pop(key, None)
 
@@ -33,7 +33,7 @@
         before it may have died before it wrote the row, and the report would lack
         the VM.
         """
-        key = row_key(delivery)
+        key = delivery_key(delivery)
         self._pending_if_absent[key] = Write(DELIVERIES_TABLE, key, asdict(delivery))
 
     async def write(self) -> None:
--- a/packages/wasabideck_agent/wasabideck_agent/delivery_book.py
+++ b/packages/wasabideck_agent/wasabideck_agent/delivery_tracker.py
@@ -4,17 +4,17 @@
 
 from attrs import define, field
 from wasabideck_base.events import Events
-from wasabideck_policy.deliveries import Delivery
+from wasabideck_policy.delivery_row import Delivery
 from wasabideck_policy.manifests import Manifest
 from wasabideck_policy.outcomes import WasabideckError
 
-from .deliveries_log import DeliveriesLog
+from .delivery_log import DeliveryLog
 
-__all__ = ["DeliveryBook"]
+__all__ = ["DeliveryTracker"]
 
 
 @define
-class DeliveryBook:
+class DeliveryTracker:
     """Records when and from where weights arrived, and reports when they take effect.
 
     Attributes
@@ -25,7 +25,7 @@
 
     vm: str
     service: str
-    log: DeliveriesLog
+    log: DeliveryLog
     events: Events
     _started: dict[int, float] = field(factory=dict)
     _verified: dict[int, float] = field(factory=dict)
--- a/packages/wasabideck_agent/wasabideck_agent/node_agent.py
+++ b/packages/wasabideck_agent/wasabideck_agent/engine_agent.py
@@ -8,33 +8,33 @@
 from collections.abc import Callable
 
 from attrs import define, evolve, field
-from wasabideck_base.deployment import Deployment
+from wasabideck_base.deployment import DeploymentAdapter
 from wasabideck_base.events import Events
 from wasabideck_base.http_pool import HttpPool
-from wasabideck_base.node import NodeSettings
-from wasabideck_base.node_process import NodeProcess, node_process
+from wasabideck_base.vm_process import VMProcess, run_vm_process
+from wasabideck_base.vm_settings import VMSettings
 from wasabideck_base.weights_settings import WeightsSettings
 from wasabideck_policy.configuration import EngineModel
-from wasabideck_policy.engine_state import EngineState, OrderAnswer
+from wasabideck_policy.engine_state import EngineState, OrderResponse
 from wasabideck_policy.manifests import Manifest
 from wasabideck_policy.membership import AGENT, Member
 from wasabideck_policy.outcomes import WasabideckError
-from wasabideck_policy.superseding import OVERHEAD
-from wasabideck_policy.waves import DRAIN_SECONDS, wave_delay
+from wasabideck_policy.rollout_waves import DRAIN_SECONDS, rollout_delay
+from wasabideck_policy.superseded_transfer import TRANSFER_OVERHEAD_RATIO
 
 from .chunk_http import chunk_port, http_calls, listen_for_chunks
 from .chunk_store import ChunkStore
 from .chunks_service import ChunksService
-from .deliveries_log import DeliveriesLog
-from .delivery_book import DeliveryBook
+from .delivery_log import DeliveryLog
+from .delivery_tracker import DeliveryTracker
+from .engine_reporter import EngineReporter
 from .links import Link, Links
 from .listed_peers import ListedPeers
-from .news_loop import NewsLoop
 from .numbered_manifests import NumberedManifests
 from .origin_chunks import NumberedOrigin, OriginChunks
 from .peer_calls import PeerCalls
 from .retirement import Retirement
-from .staging import Engine, Staging, held_version
+from .staging import Engine, Staging, loaded_version
 from .transfer import Transfer
 from .version_choice import VersionChoice
 
@@ -96,7 +96,7 @@
 CALL_TIMEOUT_SECONDS = 0.6
 
 
-async def run_agent(cfg: NodeSettings, deployment: Deployment) -> None:
+async def run_agent(cfg: VMSettings, deployment: DeploymentAdapter) -> None:
     """Run an agent until it is asked to stop."""
     store = ChunkStore()
     # The flow control windows of the inner protocol keep the link's queue short, so the
@@ -104,7 +104,7 @@
     links = Links(Link(), Link(), Link())
     chunks = ChunksService(store, links, MAX_UPLOADS)
     async with (
-        node_process(cfg, AGENT, deployment, lambda p: (chunks,)) as process,
+        run_vm_process(cfg, AGENT, deployment, lambda p: (chunks,)) as process,
         HttpPool(ORIGIN_IDLE_TIMEOUT_SECONDS) as origin_pool,
         HttpPool(PEER_IDLE_TIMEOUT_SECONDS) as peer_pool,
     ):
@@ -124,10 +124,10 @@
             origin_pool,
             http_calls(peer_pool),
         )
-        process.believer.on_version = lambda model, number: (
+        process.state_sync.on_version = lambda model, number: (
             agent.declaration_event.set()
         )
-        reporter = NewsLoop(process, engine, agent.describe)
+        reporter = EngineReporter(process, engine, agent.describe)
         agent.send_report = reporter.send_report
         running = {
             asyncio.create_task(coroutine)
@@ -136,7 +136,7 @@
         stopping = asyncio.create_task(process.stop.wait())
         await asyncio.wait({*running, stopping}, return_when=asyncio.FIRST_COMPLETED)
         if stopping.done() and not process.failed:
-            grace = process.cfg.bounds.grace - SHUTDOWN_RESERVE_SECONDS
+            grace = process.cfg.limits.shutdown_grace_seconds - SHUTDOWN_RESERVE_SECONDS
             draining = asyncio.create_task(agent.retirement.drain(grace))
             running.add(draining)
             await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
@@ -148,9 +148,9 @@
                 task.result()
 
 
-def _delivery_tracker(process: NodeProcess) -> DeliveryBook:
-    log = DeliveriesLog(process.believer.store)
-    return DeliveryBook(process.cfg.vm, process.cfg.service, log, process.events)
+def _delivery_tracker(process: VMProcess) -> DeliveryTracker:
+    log = DeliveryLog(process.state_sync.store)
+    return DeliveryTracker(process.cfg.vm, process.cfg.service, log, process.events)
 
 
 @define
@@ -175,14 +175,14 @@
         Unloads expired weights from the engine.
     """
 
-    process: NodeProcess
-    deployment: Deployment
+    process: VMProcess
+    deployment: DeploymentAdapter
     engine: Engine
     store: ChunkStore
     chunks: ChunksService
     links: Links
     staging: Staging
-    deliveries: DeliveryBook
+    deliveries: DeliveryTracker
     peers: ListedPeers
     origin_pool: HttpPool
     calls: PeerCalls
@@ -250,16 +250,19 @@
             await self._wait_for_declaration(STAGE_INTERVAL_SECONDS)
             return False
         version = self._declared_version(model)
-        state = await self.engine.state()
-        if state.born != self._engine_start:
+        state = await self.engine.read_state()
+        if state.started_at_ms != self._engine_start:
             self.staging.reset()
-            self._engine_start = state.born
+            self._engine_start = state.started_at_ms
         self._record_state(model, state)
-        held = self._served_version = held_version(state, model)
+        held = self._served_version = loaded_version(state, model)
         if held >= version:
             await self._retain_chunks(model, held)
             return True
-        if state.busy and self._last_order == (version, state.born):
+        if state.order_in_progress and self._last_order == (
+            version,
+            state.started_at_ms,
+        ):
             await asyncio.sleep(ORDER_POLL_SECONDS)
             return False
         # While the engine loads an older version the link is free to fetch the newest.
@@ -276,14 +279,14 @@
         ago, and the report would lack a version that was superseded meanwhile.
         """
         since = self._swapping_since
-        if since is not None and not state.busy:
+        if since is not None and not state.order_in_progress:
             if self.process.clock() - since >= ORDER_ACCEPT_SECONDS:
                 self._swapping_since = None
-        if held := held_version(state, model):
+        if held := loaded_version(state, model):
             manifest = self.manifests.known(held)
             wall = time.time()
             self.deliveries.record_in_effect(
-                model.model, held, manifest, state.born, wall
+                model.model, held, manifest, state.started_at_ms, wall
             )
 
     def describe(self, state: EngineState) -> tuple[int, bool, float, int] | None:
@@ -304,20 +307,25 @@
         declared = self._declared_version(model)
         self._record_state(model, state)
         self._log_expiry(model, state)
-        held = held_version(state, model)
+        held = loaded_version(state, model)
         swapping = self._swapping_since is not None
-        serving = held > 0 and not state.busy and not swapping
+        serving = held > 0 and not state.order_in_progress and not swapping
         ready_in = self._ready_in(model, held, declared)
         ordered, born = self._last_order
-        if born == state.born and (state.busy or swapping):
+        if born == state.started_at_ms and (state.order_in_progress or swapping):
             held = max(held, ordered)
         return held, serving, ready_in, self._newest_with_known_time(model)
 
     def _log_expiry(self, model: EngineModel, state: EngineState) -> None:
         """Log the engine's load once when the weights that it serves have expired."""
-        held = held_version(state, model)
-        beliefs, bounds = self.process.believer.beliefs, self.process.cfg.bounds
-        over_at = beliefs.over_at(model.model, held, bounds.version)
+        held = loaded_version(state, model)
+        cluster_state, bounds = (
+            self.process.state_sync.cluster_state,
+            self.process.cfg.limits,
+        )
+        over_at = cluster_state.expires_at(
+            model.model, held, bounds.version_deadline_seconds
+        )
         now = self.process.clock()
         if not 0 < held or held == self._logged_expiry:
             return
@@ -328,7 +336,7 @@
             "weights.over",
             version=held,
             since=round(now - over_at, 3),
-            busy=state.busy,
+            busy=state.order_in_progress,
             running=state.running,
             waiting=state.waiting,
         )
@@ -341,7 +349,11 @@
         if self._swapping_since is not None:
             swap = DRAIN_SECONDS + model.load_seconds
             return max(POLL_SECONDS, swap - (now - self._swapping_since))
-        slot = model.chunk_bytes / max(self.process.cfg.link_rate, 1.0) * OVERHEAD
+        slot = (
+            model.chunk_bytes
+            / max(self.process.cfg.link_bytes_per_second, 1.0)
+            * TRANSFER_OVERHEAD_RATIO
+        )
         missing = model.chunks
         if self._current_transfer is not None:
             missing = self._current_transfer.view.missing
@@ -350,30 +362,30 @@
         return missing * slot + DRAIN_SECONDS + model.load_seconds
 
     def _model(self) -> EngineModel | None:
-        cfg = self.process.believer.beliefs.configuration
+        cfg = self.process.state_sync.cluster_state.configuration
         service = cfg.services.get(self.process.cfg.service) if cfg else None
         return service.engine if service else None
 
     def _declared_version(self, model: EngineModel) -> int:
-        declared = self.process.believer.beliefs.newest_version(model.model)
+        declared = self.process.state_sync.cluster_state.newest_version(model.model)
         return declared or FIRST_VERSION
 
     def _newest_with_known_time(self, model: EngineModel) -> int:
         """Return the newest version whose expiry this agent knows and enforces."""
-        beliefs = self.process.believer.beliefs
-        return beliefs.newest_dated(model.model) or FIRST_VERSION
+        cluster_state = self.process.state_sync.cluster_state
+        return cluster_state.newest_with_known_time(model.model) or FIRST_VERSION
 
     async def _retain_chunks(self, model: EngineModel, version: int) -> None:
         """Keep the chunks of the version in effect for peers that lack them."""
         await self.deliveries.write()
         manifest = await self.manifests.get(model.model, version)
-        if not self.store.whole(manifest):
+        if not self.store.is_complete(manifest):
             stored = await self.staging.store_staged(manifest)
             self.events.emit("staging.taken-up", version=version, pieces=stored)
         self._discard_older(version)
 
     def _origin(self) -> NumberedOrigin:
-        origin = self.process.believer.beliefs.configuration.origin()
+        origin = self.process.state_sync.cluster_state.configuration.origin()
         address = origin.address if origin else ""
         return self.deployment.open_origin(self.origin_pool, address)
 
@@ -386,7 +398,7 @@
             Whether the version is complete and still to be loaded.
         """
         version = int(manifest.version)
-        if self.store.whole(manifest):
+        if self.store.is_complete(manifest):
             await self.staging.stage_stored(manifest)
             return True
         await self.staging.store_staged(manifest)
@@ -395,7 +407,7 @@
             self.events.emit(
                 "transfer.begun", manifest=manifest.digest, version=version
             )
-        if self.store.whole(manifest):
+        if self.store.is_complete(manifest):
             # All chunks were staged already, so no peer has to be queried.
             await self._finish_transfer(manifest, {})
             return True
@@ -494,18 +506,18 @@
         version keeps waiting here: a new evaluation would turn to the newest version,
         whose chunks overwrite the staged ones.
         """
-        while (state := await self.engine.state()).busy:
+        while (state := await self.engine.read_state()).order_in_progress:
             await asyncio.sleep(ORDER_POLL_SECONDS)
             if (
                 version >= self._declared_version(model)
-                or state.born != self._engine_start
+                or state.started_at_ms != self._engine_start
             ):
                 return None
-            if self._last_order == (version, state.born):
+            if self._last_order == (version, state.started_at_ms):
                 return None
             if self._expires_before_load(model, version, 0, self.process.clock()):
                 return None
-        return state if held_version(state, model) < version else None
+        return state if loaded_version(state, model) < version else None
 
     def _expires_before_load(
         self, model: EngineModel, version: int, running: int, now: float
@@ -517,8 +529,11 @@
         unknown, the version may have expired.
         """
         duration = model.load_seconds + (MAX_DRAIN_SECONDS if running else 0.0)
-        beliefs, within = self.process.believer.beliefs, self.process.cfg.bounds.version
-        return version < beliefs.least_version(model.model, within, now + duration)
+        cluster_state, within = (
+            self.process.state_sync.cluster_state,
+            self.process.cfg.limits.version_deadline_seconds,
+        )
+        return version < cluster_state.min_version(model.model, within, now + duration)
 
     async def _order_load(self, model: EngineModel, manifest: Manifest) -> None:
         """Verify the staged chunks and order the engine to load them."""
@@ -534,7 +549,7 @@
         self._swapping_since = self.process.clock()
         self.send_report(state)
         answer = await self.engine.load(
-            model.model, version, queue=True, accepted=state.orders
+            model.model, version, queue=True, accepted=state.accepted_orders
         )
         self.events.emit(
             "order.sent",
@@ -544,39 +559,43 @@
             running=state.running,
             waiting=state.waiting,
         )
-        if answer is OrderAnswer.REFUSED:
+        if answer is OrderResponse.REFUSED:
             self._swapping_since = None
             await asyncio.sleep(RETRY_DELAY_SECONDS)
             return
         # Restart the time: accepting an order may take longer than
         # ORDER_ACCEPT_SECONDS, and the swap would seem to be over.
         self._swapping_since = self.process.clock()
-        self._last_order = (version, state.born)
-        self.send_report(evolve(state, busy=True))
+        self._last_order = (version, state.started_at_ms)
+        self.send_report(evolve(state, order_in_progress=True))
 
     def _newest_fields(self, model: EngineModel) -> dict[str, object]:
         """Return event fields of an order: the newest version known to this agent."""
-        newest = self.process.believer.beliefs.newest(model.model)
+        newest = self.process.state_sync.cluster_state.newest(model.model)
         if newest is None:
             return {"newest": 0, "newest_age": None, "dated": False}
         age = round(newest.age(self.process.clock()), 3)
-        return {"newest": newest.number, "newest_age": age, "dated": newest.certain}
+        return {
+            "newest": newest.number,
+            "newest_age": age,
+            "dated": newest.declaration_time_known,
+        }
 
     def _swap_start(self, model: EngineModel, version: int, now: float) -> float:
         """Return the time at which the engine may stop to load a complete version."""
         if self._served_version == 0:
             return now
         since = self._complete_since.setdefault(version, now)
-        believer, cfg = self.process.believer, self.process.cfg
-        over_at = believer.beliefs.over_at(
-            model.model, self._served_version, cfg.bounds.version
+        state_sync, cfg = self.process.state_sync, self.process.cfg
+        over_at = state_sync.cluster_state.expires_at(
+            model.model, self._served_version, cfg.limits.version_deadline_seconds
         )
         if over_at is None:
             return now
         latest = over_at - SWAP_MARGIN_SECONDS
         vms = {cfg.vm, *(member.vm for member in self.peers.members())}
         available = latest - since
-        delay = wave_delay(cfg.vm, version, vms, model.load_seconds, available)
+        delay = rollout_delay(cfg.vm, version, vms, model.load_seconds, available)
         return min(since + delay, latest)
 
     def _new_transfer(self, manifest: Manifest) -> Transfer:
@@ -598,7 +617,7 @@
     def _spare_copies(self) -> float:
         """Return the extra origin copies if every agent read as much as this one."""
         cfg = self.process.cfg
-        origin = self.process.believer.beliefs.configuration.origin()
+        origin = self.process.state_sync.cluster_state.configuration.origin()
         if origin is None or cfg.regions.get(origin.data_centre) != cfg.region:
             return 0.0
         peers = self.peers.members()
@@ -607,7 +626,7 @@
 
     def _discard_older(self, version: int) -> None:
         if self.manifests.discard_older(version):
-            self.store.keep_only(self.manifests.digests())
+            self.store.keep_manifests(self.manifests.digests())
 
     async def _wait_for_declaration(self, seconds: float) -> None:
         """Wait for a declaration, for at most the given time."""
@@ -617,7 +636,7 @@
                 await self.declaration_event.wait()
 
 
-def _weights_settings(cfg: NodeSettings, spare_copies: float) -> WeightsSettings:
+def _weights_settings(cfg: VMSettings, spare_copies: float) -> WeightsSettings:
     return WeightsSettings(
         fetches=MAX_LOCAL_FETCHES,
         far_fetches=MAX_REMOTE_FETCHES,
@@ -626,5 +645,5 @@
         spare_copies=spare_copies,
         uploads=MAX_UPLOADS,
         call_seconds=CALL_TIMEOUT_SECONDS,
-        link_rate=cfg.link_rate,
+        link_rate=cfg.link_bytes_per_second,
     )
--- a/packages/wasabideck_agent/wasabideck_agent/orders.py
+++ b/packages/wasabideck_agent/wasabideck_agent/engine_orders.py
@@ -8,19 +8,19 @@
 
 from attrs import define
 from wasabideck_base.events import Events
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
-from wasabideck_base.servers import Engine, Loaded
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
+from wasabideck_base.server_clients import ModelEngineClient, ServedState
+from wasabideck_policy.desired_weights import DesiredWeights
 from wasabideck_policy.orders import (
-    OrderBook,
-    gate_open,
-    matches,
+    OrderState,
+    expected_serving,
+    may_serve,
     order_due,
-    ordered_by,
+    serves_desired,
 )
 from wasabideck_policy.outcomes import WasabideckError
-from wasabideck_policy.wants import Wanted
 
-from .runs import Runner
+from .runner import Runner
 
 __all__ = ["OrderUnconfirmed", "OrderWithheld", "Orders"]
 
@@ -58,11 +58,11 @@
         Duration of the last order.
     """
 
-    engine: Engine
+    engine: ModelEngineClient
     runner: Runner
     events: Events
-    book: OrderBook
-    desired_weights: Callable[[], Wanted | None]
+    book: OrderState
+    desired_weights: Callable[[], DesiredWeights | None]
     clock: Callable[[], float] = time.monotonic
     sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
     last_swap_seconds: float = 0.0
@@ -70,7 +70,7 @@
     _in_flight: asyncio.Task | None = None
 
     @property
-    def serving(self) -> Loaded:
+    def serving(self) -> ServedState:
         """What the engine served when it was last read back."""
         return self.runner.serving
 
@@ -78,11 +78,11 @@
         """Read what the engine serves and set the gate by it."""
         if self._order_in_flight:
             return
-        self._apply_read_back(await self.engine.loaded())
+        self._apply_read_back(await self.engine.read_state())
 
     async def apply(
         self,
-        desired: Wanted,
+        desired: DesiredWeights,
         chunks: Mapping[str, int],
         wait_for_turn: Callable[[], Awaitable[None]],
     ) -> None:
@@ -107,7 +107,7 @@
         await self._wait_until_settled()
         if not self._is_due(desired):
             return
-        if self.runner.gate.open:
+        if self.runner.gate.accepting:
             await wait_for_turn()
         # A newer ticket may cancel the task that waits here, but not the order: it has
         # been sent, and the next order needs to know how it ended.
@@ -130,47 +130,47 @@
         """Wait until the outcome of every earlier order is known."""
         await self.wait_until_idle()
         await self.read_back()
-        while not self.book.settled(self.clock()):
+        while not self.book.may_send(self.clock()):
             await self.sleep(SETTLE_POLL_INTERVAL_SECONDS)
             await self.read_back()
 
-    async def _send(self, desired: Wanted, chunks: Mapping[str, int]) -> None:
-        order = ordered_by(desired)
+    async def _send(self, desired: DesiredWeights, chunks: Mapping[str, int]) -> None:
+        order = expected_serving(desired)
         self.events.emit("order.sent", ticket=desired.ticket, version=order.version)
         # New requests wait while the engine swaps. Requests in progress continue on
         # the version that they started with.
-        self.runner.gate.open = False
+        self.runner.gate.accepting = False
         started = self.clock()
         try:
             await self.engine.order(order, chunks)
         except PlatformUnavailable as exc:
             if exc.maybe_applied:
-                self.book.lose(desired.ticket, self.clock())
+                self.book.record_lost(desired.ticket, self.clock())
             self.events.emit("order.lost", ticket=desired.ticket, why=str(exc))
         except PlatformRefused as exc:
             # After an internal error the engine may still execute the order.
-            if exc.answer_status >= MIN_SERVER_ERROR_STATUS:
-                self.book.lose(desired.ticket, self.clock())
+            if exc.response_status >= MIN_SERVER_ERROR_STATUS:
+                self.book.record_lost(desired.ticket, self.clock())
             self.events.emit("order.refused", ticket=desired.ticket, why=str(exc))
         else:
             self.last_swap_seconds = self.clock() - started
         finally:
-            self._apply_read_back(await self.engine.loaded())
+            self._apply_read_back(await self.engine.read_state())
 
-    def _apply_read_back(self, serving: Loaded) -> None:
+    def _apply_read_back(self, serving: ServedState) -> None:
         if not self._has_read_back:
             self._has_read_back = True
-            self.book.begin(serving, self.clock())
-        self.book.see(serving)
-        if serving.fence < self.book.highest:
+            self.book.start(serving, self.clock())
+        self.book.record_serving(serving)
+        if serving.fence < self.book.highest_fence:
             self.events.emit("engine.reverted", fence=serving.fence)
         self.runner.serving = serving
-        self.runner.gate.open = gate_open(
-            serving, self.desired_weights(), self.book.highest
+        self.runner.gate.accepting = may_serve(
+            serving, self.desired_weights(), self.book.highest_fence
         )
 
-    def _is_due(self, desired: Wanted) -> bool:
-        if matches(self.serving, desired):
+    def _is_due(self, desired: DesiredWeights) -> bool:
+        if serves_desired(self.serving, desired):
             return False
         if not order_due(self.serving, desired):
             raise OrderWithheld(desired.ticket, self.serving.fence)
--- a/packages/wasabideck_agent/wasabideck_agent/solo.py
+++ b/packages/wasabideck_agent/wasabideck_agent/exclusive_run.py
@@ -8,11 +8,11 @@
 
 from attrs import define, field
 
-__all__ = ["Solo"]
+__all__ = ["ExclusiveRun"]
 
 
 @define
-class Solo:
+class ExclusiveRun:
     """A lock that most requests share and a suspected request holds exclusively.
 
     A suspected request that waits goes ahead of other waiting requests. Otherwise a
--- a/packages/wasabideck_agent/wasabideck_agent/links.py
+++ b/packages/wasabideck_agent/wasabideck_agent/links.py
@@ -11,7 +11,7 @@
 from grpclib.server import Server
 from wasabideck_wire import inner_pb2 as pb
 
-__all__ = ["Link", "Links", "give_way_to_live"]
+__all__ = ["Link", "Links", "count_live_traffic"]
 
 
 @define
@@ -22,13 +22,13 @@
     ----------
     rate : float
         Bytes per second; 0 for no limit.
-    passed : int
+    transmitted_bytes : int
         Weight bytes that were transmitted.
     """
 
     rate: float = 0.0
     clock: Callable[[], float] = time.monotonic
-    passed: int = 0
+    transmitted_bytes: int = 0
     _free_at: float = 0.0
 
     async def send(self, size: int) -> None:
@@ -60,12 +60,12 @@
 
     def release(self, size: int) -> None:
         """Undo the reservation for bytes that were not sent after all."""
-        self.passed -= size
+        self.transmitted_bytes -= size
         if self.rate:
             self._free_at -= size / self.rate
 
     def _reserve(self, size: int, begin: float, now: float) -> float:
-        self.passed += size
+        self.transmitted_bytes += size
         if not self.rate:
             return 0.0
         self._free_at = begin + size / self.rate
@@ -92,7 +92,7 @@
     region: Link
 
 
-def give_way_to_live(server: Server, links: Links) -> None:
+def count_live_traffic(server: Server, links: Links) -> None:
     """Count a server's live requests and responses against its links."""
 
     async def sent(event: SendMessage) -> None:
--- a/packages/wasabideck_agent/wasabideck_agent/listed_peers.py
+++ b/packages/wasabideck_agent/wasabideck_agent/listed_peers.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from attrs import define
-from wasabideck_base.deployment import Deployment
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
-from wasabideck_base.node_process import NodeProcess
+from wasabideck_base.deployment import DeploymentAdapter
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
+from wasabideck_base.vm_process import VMProcess
 from wasabideck_policy.membership import AGENT, Member
 from wasabideck_policy.outcomes import WasabideckError
 
@@ -24,8 +24,8 @@
     responded, and after a power loss no server was loaded for 16 seconds.
     """
 
-    process: NodeProcess
-    deployment: Deployment
+    process: VMProcess
+    deployment: DeploymentAdapter
     _ips: set[str] | None = None
     _read_at: float = float("-inf")
 
@@ -36,16 +36,16 @@
 
     async def read(self) -> None:
         """Read which VMs have a listed server of this service."""
-        believer = self.process.believer
+        state_sync = self.process.state_sync
         try:
-            changes = await believer.store.read(self.deployment.servers)
+            changes = await state_sync.store.read(self.deployment.servers_table)
         except (PlatformUnavailable, PlatformRefused) as exc:
             self.process.events.emit("members.unavailable", why=str(exc))
             return
         ips = set()
         for row in changes.rows:
             try:
-                listed = self.deployment.listed_of(row)
+                listed = self.deployment.parse_listed_server(row)
             except WasabideckError as exc:
                 self.process.events.emit("row.unreadable", why=str(exc))
                 continue
@@ -59,7 +59,7 @@
         cfg = self.process.cfg
         return [
             m
-            for m in self.process.believer.hearsay.members.values()
+            for m in self.process.state_sync.gossip.members.values()
             if m.kind == AGENT and m.vm != cfg.vm and m.service == cfg.service
             if self._ips is None or _ip(m.address) in self._ips
         ]
--- a/packages/wasabideck_agent/wasabideck_agent/load.py
+++ b/packages/wasabideck_agent/wasabideck_agent/load_reader.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from attrs import define, field
-from wasabideck_base.http_answers import PlatformUnavailable, understood
-from wasabideck_base.servers import Engine
-from wasabideck_policy.affinity import CacheView
+from wasabideck_base.http_responses import PlatformUnavailable, parse_response
+from wasabideck_base.server_clients import ModelEngineClient
+from wasabideck_policy.cache_affinity import PrefixCacheView
 
 __all__ = ["LOAD_POLL_INTERVAL_SECONDS", "LoadReader"]
 
@@ -29,10 +29,10 @@
         Wall time of the load report, seconds.
     """
 
-    engine: Engine | None
+    engine: ModelEngineClient | None
     load: float = 0.0
     reported_at: float = 0.0
-    cache: CacheView = field(factory=CacheView)
+    cache: PrefixCacheView = field(factory=PrefixCacheView)
     clock: Callable[[], float] = time.monotonic
 
     async def read(self) -> None:
@@ -40,17 +40,19 @@
         if self.engine is None:
             return
         try:
-            report = await self.engine.load()
-            events = await self.engine.cache_events(self.cache.sequence)
-            url = self.engine.http.base
-            self.load, self.reported_at = understood(url, report, _parse_load)
-            understood(url, events, lambda body: self.cache.apply(body, self.clock()))
+            report = await self.engine.read_load()
+            events = await self.engine.read_cache_events(self.cache.sequence)
+            url = self.engine.http.base_url
+            self.load, self.reported_at = parse_response(url, report, _parse_load)
+            parse_response(
+                url, events, lambda body: self.cache.apply(body, self.clock())
+            )
         except PlatformUnavailable:
             return
 
     def cached_prefixes(self, now: float) -> tuple[list[str], int]:
         """Return the prefixes assumed to be cached, and the number of their set."""
-        held = self.cache.held(now)
+        held = self.cache.cached_prefixes(now)
         return held, self.cache.changes
 
 
--- a/packages/wasabideck_agent/wasabideck_agent/manifest_reader.py
+++ b/packages/wasabideck_agent/wasabideck_agent/manifest_reader.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 
 from attrs import define
-from wasabideck_base.channels import LINK_FAILURES, Channels
-from wasabideck_base.weights import Origin
+from wasabideck_base.channels import CALL_FAILURES, Channels
+from wasabideck_base.weight_origin import WeightOriginClient
 from wasabideck_policy.manifests import CorruptManifest, Manifest, manifest_from_json
 from wasabideck_policy.membership import Member
-from wasabideck_policy.rendezvous import rank
+from wasabideck_policy.rendezvous import rank_vms
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.inner_grpc import ChunksStub
 
@@ -37,9 +37,9 @@
     """
 
     vm: str
-    origin: Origin
+    origin: WeightOriginClient
     channels: Channels
-    peers_of: Callable[[], list[Member]]
+    list_peers: Callable[[], list[Member]]
     rng: random.Random
     clock: Callable[[], float] = time.monotonic
 
@@ -56,17 +56,17 @@
             if manifest := await self._query_peers(digest):
                 return manifest
             if self._reads_origin(digest) or self.clock() - started >= MAX_WAIT_SECONDS:
-                return await self.origin.manifest(digest)
+                return await self.origin.read_manifest(digest)
             await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
     def _reads_origin(self, digest: str) -> bool:
-        vms = [self.vm, *(m.vm for m in self.peers_of() if not m.leaving)]
-        return self.vm in rank(digest, vms)[:ORIGIN_READERS]
+        vms = [self.vm, *(m.vm for m in self.list_peers() if not m.leaving)]
+        return self.vm in rank_vms(digest, vms)[:ORIGIN_READERS]
 
     async def _query_peers(self, digest: str) -> Manifest | None:
         """Return the manifest from one of a few peers, or None if none has it."""
-        members = {m.vm: m for m in self.peers_of()}
-        readers = rank(digest, members)[:ORIGIN_READERS]
+        members = {m.vm: m for m in self.list_peers()}
+        readers = rank_vms(digest, members)[:ORIGIN_READERS]
         drawn = self.rng.sample(sorted(members), min(PEERS_PER_QUERY, len(members)))
         queries = [
             asyncio.create_task(self._query(members[vm], digest))
@@ -92,8 +92,8 @@
         try:
             reply = await stub.Holdings(req, timeout=CALL_TIMEOUT_SECONDS)
             return manifest_from_json(reply.manifest_json, digest)
-        except LINK_FAILURES:
-            self.channels.drop(member.address, channel)
+        except CALL_FAILURES:
+            self.channels.close_channel(member.address, channel)
             return None
         except CorruptManifest:
             return None
--- a/packages/wasabideck_agent/wasabideck_agent/numbered_manifests.py
+++ b/packages/wasabideck_agent/wasabideck_agent/numbered_manifests.py
@@ -7,22 +7,22 @@
 from collections.abc import Callable
 
 from attrs import define, field
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
-from wasabideck_base.node_process import NodeProcess
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
+from wasabideck_base.vm_process import VMProcess
 from wasabideck_policy.manifests import (
     Manifest,
-    Word,
-    agreed,
-    likeliest,
-    numbered_name,
+    ManifestReport,
+    confirmed_manifest,
+    most_reported,
+    numbered_manifest_name,
 )
 from wasabideck_policy.membership import Member
-from wasabideck_policy.rendezvous import rank
+from wasabideck_policy.rendezvous import rank_vms
 
 from .chunk_store import ChunkStore
 from .listed_peers import ListedPeers
 from .origin_chunks import NumberedOrigin
-from .peers_word import query_all, query_peers
+from .peer_manifests import query_all, query_peers
 
 __all__ = ["NumberedManifests"]
 
@@ -55,7 +55,7 @@
         Returns the origin of weights according to the current configuration.
     """
 
-    process: NodeProcess
+    process: VMProcess
     store: ChunkStore
     peers: ListedPeers
     origin: Callable[[], NumberedOrigin]
@@ -86,10 +86,10 @@
                 self._accept(version, manifest, "readers")
                 return
         try:
-            manifest = await self.origin().manifest(model, version)
+            manifest = await self.origin().read_manifest(model, version)
         except (PlatformUnavailable, PlatformRefused) as exc:
             self.process.events.emit("manifest.unread", version=version, why=str(exc))
-            manifest = likeliest(await self._reports(model, version))
+            manifest = most_reported(await self._reports(model, version))
             if manifest is None:
                 raise
             # A manifest that was read is kept unless peers outvote it.
@@ -105,12 +105,12 @@
         """Return the local agents that read a manifest; none if this one does."""
         cfg = self.process.cfg
         local = {m.vm: m for m in self.peers.members() if m.region == cfg.region}
-        ranked = rank(f"{name}/{cfg.region}", {*local, cfg.vm})[:READERS_PER_REGION]
+        ranked = rank_vms(f"{name}/{cfg.region}", {*local, cfg.vm})[:READERS_PER_REGION]
         return [] if cfg.vm in ranked else [local[vm] for vm in ranked]
 
     async def _from_readers(self, model: str, version: int) -> Manifest | None:
         """Return the manifest that local readers agree on, or None after a timeout."""
-        process, name = self.process, numbered_name(model, version)
+        process, name = self.process, numbered_manifest_name(model, version)
         if not self._readers(name):
             return None
         with contextlib.suppress(TimeoutError):
@@ -123,7 +123,7 @@
             reports = await query_all(
                 model, version, process.cfg.vm, queried, process.channels
             )
-            manifest = agreed(reports)
+            manifest = confirmed_manifest(reports)
             if manifest is not None:
                 return manifest
         return None
@@ -141,9 +141,9 @@
         and return to agents that have read an intact one since.
         """
         for version, manifest in self._known.items():
-            if numbered_name(manifest.model, version) != name:
+            if numbered_manifest_name(manifest.model, version) != name:
                 continue
-            if version in self._read_from_origin or self.store.whole(manifest):
+            if version in self._read_from_origin or self.store.is_complete(manifest):
                 return manifest
         return None
 
@@ -159,22 +159,22 @@
         """Return the digests of all known manifests."""
         return {manifest.digest for manifest in self._known.values()}
 
-    async def _reports(self, model: str, version: int) -> list[Word]:
+    async def _reports(self, model: str, version: int) -> list[ManifestReport]:
         """Return the reports on a version, starting with this agent's if it has one."""
         process = self.process
         if not self.peers.members():
-            await asyncio.gather(process.believer.read_members(), self.peers.read())
+            await asyncio.gather(process.state_sync.read_members(), self.peers.read())
         peers, vm = self.peers.members(), process.cfg.vm
         reports = await query_peers(
             model, version, vm, peers, process.channels, process.rng
         )
-        if own := self.shareable_manifest(numbered_name(model, version)):
-            reports.insert(0, Word(own, self.store.whole(own)))
+        if own := self.shareable_manifest(numbered_manifest_name(model, version)):
+            reports.insert(0, ManifestReport(own, self.store.is_complete(own)))
         return reports
 
     def _accept(self, version: int, manifest: Manifest, source: str) -> None:
         self._known[version] = manifest
-        self.store.know(manifest)
+        self.store.add_manifest(manifest)
         self.process.events.emit(
             "manifest.read", version=version, manifest=manifest.digest, source=source
         )
--- a/packages/wasabideck_agent/wasabideck_agent/origin_chunks.py
+++ b/packages/wasabideck_agent/wasabideck_agent/origin_chunks.py
@@ -13,10 +13,10 @@
 class NumberedOrigin(Protocol):
     """An origin that identifies a version's chunks by their indices."""
 
-    async def manifest(self, model: str, version: int) -> Manifest:
+    async def read_manifest(self, model: str, version: int) -> Manifest:
         """Return the manifest with the digests of a version's chunks."""
 
-    async def piece(self, model: str, version: int, index: int) -> bytes:
+    async def chunk(self, model: str, version: int, index: int) -> bytes:
         """Return a chunk's bytes, unverified."""
 
 
@@ -29,8 +29,8 @@
 
     async def chunk(self, digest: str, vm: str) -> bytes:
         """Return the chunk of that digest; raise ``CorruptChunk`` on other bytes."""
-        index = self.manifest.places[digest][0]
+        index = self.manifest.chunk_indices[digest][0]
         version = int(self.manifest.version)
-        data = await self.origin.piece(self.manifest.model, version, index)
+        data = await self.origin.chunk(self.manifest.model, version, index)
         verify_chunk(data, digest, "")
         return data
--- a/packages/wasabideck_agent/wasabideck_agent/peer_calls.py
+++ b/packages/wasabideck_agent/wasabideck_agent/peer_calls.py
@@ -14,7 +14,7 @@
 
 @frozen
 class PeerCalls:
-    """Calls to other agents; each raises one of ``LINK_FAILURES`` when it fails.
+    """Calls to other agents; each raises one of ``CALL_FAILURES`` when it fails.
 
     Attributes
     ----------
@@ -50,4 +50,4 @@
     ) -> pb.HoldingsReply:
         return await ChunksStub(channels.get(address)).Holdings(req, timeout=seconds)
 
-    return PeerCalls(fetch, holdings, channels.drop)
+    return PeerCalls(fetch, holdings, channels.close_channel)
--- a/packages/wasabideck_agent/wasabideck_agent/peers_word.py
+++ b/packages/wasabideck_agent/wasabideck_agent/peer_manifests.py
@@ -6,12 +6,12 @@
 import random
 from collections.abc import Sequence
 
-from wasabideck_base.channels import LINK_FAILURES, Channels
+from wasabideck_base.channels import CALL_FAILURES, Channels
 from wasabideck_policy.manifests import (
     CorruptManifest,
-    Word,
-    numbered_from_json,
-    numbered_name,
+    ManifestReport,
+    numbered_manifest_from_json,
+    numbered_manifest_name,
 )
 from wasabideck_policy.membership import Member
 from wasabideck_wire import inner_pb2 as pb
@@ -35,7 +35,7 @@
     peers: Sequence[Member],
     channels: Channels,
     rng: random.Random,
-) -> list[Word]:
+) -> list[ManifestReport]:
     """Return the reports of a few peers, drawn at random, that have a manifest.
 
     Parameters
@@ -49,7 +49,7 @@
 
 async def query_all(
     model: str, version: int, vm: str, peers: Sequence[Member], channels: Channels
-) -> list[Word]:
+) -> list[ManifestReport]:
     """Return the reports of those of the given peers that have a manifest."""
     # The peers are queried concurrently: a suspended one would delay the others.
     reports = await asyncio.gather(
@@ -60,19 +60,19 @@
 
 async def _query(
     model: str, version: int, vm: str, peer: Member, channels: Channels
-) -> Word | None:
-    name = numbered_name(model, version)
+) -> ManifestReport | None:
+    name = numbered_manifest_name(model, version)
     req = pb.HoldingsRequest(manifest=name, vm=vm, want_manifest=True)
     channel = channels.get(peer.address)
     try:
         reply = await ChunksStub(channel).Holdings(req, timeout=QUERY_TIMEOUT_SECONDS)
         if not reply.manifest_json:
             return None
-        manifest = numbered_from_json(reply.manifest_json, model, version)
-    except LINK_FAILURES:
-        channels.drop(peer.address, channel)
+        manifest = numbered_manifest_from_json(reply.manifest_json, model, version)
+    except CALL_FAILURES:
+        channels.close_channel(peer.address, channel)
         return None
     except CorruptManifest:
         return None
     held = from_bitmap(reply.bitmap)
-    return Word(manifest, held.bit_count() >= len(manifest.chunks))
+    return ManifestReport(manifest, held.bit_count() >= len(manifest.chunks))
--- a/packages/wasabideck_agent/wasabideck_agent/reconcile.py
+++ b/packages/wasabideck_agent/wasabideck_agent/reconciler.py
@@ -8,19 +8,19 @@
 
 from attrs import define, field
 from wasabideck_base.events import Events
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
 from wasabideck_base.metrics import Metrics
-from wasabideck_base.servers import Engine
-from wasabideck_base.spread import Spread
-from wasabideck_policy.deliveries import Delivery
+from wasabideck_base.server_clients import ModelEngineClient
+from wasabideck_base.ticket_replication import TicketReplication
+from wasabideck_policy.delivery_row import Delivery
+from wasabideck_policy.desired_weights import STANDBY, DesiredWeights, desired_weights
 from wasabideck_policy.manifests import CorruptManifest, Manifest
-from wasabideck_policy.orders import matches
-from wasabideck_policy.tickets import Assignment, desired
-from wasabideck_policy.wants import STANDBY, Wanted, wanted_of
+from wasabideck_policy.orders import serves_desired
+from wasabideck_policy.tickets import Assignment, desired_assignment
 
 from .chunk_store import ChunkStore
 from .delivery_rows import DeliveryRows
-from .orders import Orders, OrderUnconfirmed, OrderWithheld
+from .engine_orders import Orders, OrderUnconfirmed, OrderWithheld
 from .transfer import Transfer
 
 __all__ = ["Reconciler"]
@@ -49,9 +49,9 @@
 
     vm: str
     service: str
-    engine: Engine
+    engine: ModelEngineClient
     orders: Orders
-    ticket_replication: Spread
+    ticket_replication: TicketReplication
     read_manifest: Callable[[str], Awaitable[Manifest]]
     rows: DeliveryRows
     store: ChunkStore
@@ -110,7 +110,7 @@
             # Read back even before any ticket is known: this closes a gate that an
             # engine's restart has left open by mistake.
             await self.orders.read_back()
-            if not self.ticket_replication.heard:
+            if not self.ticket_replication.ready:
                 return False
             if target := self.desired_weights():
                 await self._apply(target)
@@ -122,21 +122,23 @@
             self.events.emit("reconcile.failed", why=str(exc))
             return False
 
-    def desired_weights(self) -> Wanted | None:
+    def desired_weights(self) -> DesiredWeights | None:
         """Return what this server should serve according to the known tickets."""
-        return wanted_of(self.ticket_replication.state, self.service, self.vm)
+        return desired_weights(self.ticket_replication.state, self.service, self.vm)
 
     def standby_weights(self) -> Assignment | None:
         """Return what this server should hold without serving it."""
-        return desired(self.ticket_replication.state, self.service, self.vm, STANDBY)
+        return desired_assignment(
+            self.ticket_replication.state, self.service, self.vm, STANDBY
+        )
 
-    async def _apply(self, target: Wanted) -> None:
+    async def _apply(self, target: DesiredWeights) -> None:
         """Make the engine serve the model and its adapters."""
-        if matches(self.orders.serving, target):
+        if serves_desired(self.orders.serving, target):
             self._record_found(target)
             return
         chunks = {}
-        for part in target.parts:
+        for part in target.assignments:
             if manifest := await self._fetch(part):
                 await self._stage(manifest)
                 chunks[manifest.digest] = len(manifest.chunks)
@@ -144,7 +146,7 @@
             target, chunks, lambda: self.wait_for_swap_turn(target.ticket)
         )
         self._report_in_effect(target)
-        for part in target.parts:
+        for part in target.assignments:
             await self._finish_delivery(part, self.wall())
 
     async def _hold_standby(self, standby: Assignment) -> None:
@@ -163,13 +165,15 @@
         may request them.
         """
         target, serving = self.desired_weights(), self.orders.serving
-        parts = [*(target.parts if target else ()), self.standby_weights()]
+        parts = [*(target.assignments if target else ()), self.standby_weights()]
         declared = {part.change.manifest for part in parts if part}
-        self.store.keep_only({*declared, serving.manifest, *serving.adapters.values()})
+        self.store.keep_manifests(
+            {*declared, serving.manifest, *serving.adapters.values()}
+        )
 
-    def _record_found(self, target: Wanted) -> None:
+    def _record_found(self, target: DesiredWeights) -> None:
         """Record weights that were in effect before this process started."""
-        missing = [part for part in target.parts if not self._is_finished(part)]
+        missing = [part for part in target.assignments if not self._is_finished(part)]
         for part in missing:
             delivery = self._delivery(part)
             delivery.in_force = self.wall()
@@ -207,7 +211,7 @@
         if not digest:
             return None
         manifest = self.store.manifest(digest) or await self.read_manifest(digest)
-        self.store.know(manifest)
+        self.store.add_manifest(manifest)
         transfer = self.make_transfer(manifest)
         try:
             await transfer.run()
@@ -222,14 +226,14 @@
         return manifest
 
     async def _stage(self, manifest: Manifest) -> None:
-        staged = await self.engine.staged(manifest.digest)
+        staged = await self.engine.staged_chunks(manifest.digest)
         for index, digest in enumerate(manifest.chunks):
             if index not in staged:
                 data = self.store.get(digest)
-                await self.engine.stage(manifest.digest, index, data)
+                await self.engine.stage_chunk(manifest.digest, index, data)
 
-    def _report_in_effect(self, target: Wanted) -> None:
-        self.metrics.ticket.set({}, target.ticket)
+    def _report_in_effect(self, target: DesiredWeights) -> None:
+        self.metrics.ticket_in_force.set({}, target.ticket)
         self.events.emit(
             "version.in-force", ticket=target.ticket, version=target.change.version
         )
--- a/packages/wasabideck_agent/wasabideck_agent/retirement.py
+++ b/packages/wasabideck_agent/wasabideck_agent/retirement.py
@@ -13,12 +13,12 @@
 from contextlib import contextmanager
 
 from attrs import define, evolve
-from wasabideck_base.node_process import NodeProcess
+from wasabideck_base.vm_process import VMProcess
 from wasabideck_policy.configuration import EngineModel
-from wasabideck_policy.engine_state import EngineState, OrderAnswer
+from wasabideck_policy.engine_state import EngineState, OrderResponse
 from wasabideck_policy.outcomes import WasabideckError
 
-from .staging import Engine, held_version
+from .staging import Engine, loaded_version
 
 __all__ = ["Retirement"]
 
@@ -57,7 +57,7 @@
         Whether an order to load newer weights is being prepared.
     """
 
-    process: NodeProcess
+    process: VMProcess
     engine: Engine
     model: Callable[[], EngineModel | None]
     send_report: Callable[[EngineState], None]
@@ -125,15 +125,15 @@
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _newest(self, model: EngineModel | None) -> int:
-        beliefs = self.process.believer.beliefs
-        return beliefs.newest_version(model.model) if model else 0
+        cluster_state = self.process.state_sync.cluster_state
+        return cluster_state.newest_version(model.model) if model else 0
 
     async def _serves_superseded(self, model: EngineModel, newest: int) -> bool:
         """Whether requests can still start on weights that are not the newest."""
         with self._logging_failures():
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
-                state = await self.engine.state()
-            return state.busy or 0 < held_version(state, model) < newest
+                state = await self.engine.read_state()
+            return state.order_in_progress or 0 < loaded_version(state, model) < newest
         return True
 
     @contextmanager
@@ -152,17 +152,25 @@
         during which the time may be found. Meanwhile entries send no requests to older
         weights.
         """
-        bounds, beliefs = self.process.cfg.bounds, self.process.believer.beliefs
-        return beliefs.surely_due(model.model, bounds.version, at, bounds.stable)
+        bounds, cluster_state = (
+            self.process.cfg.limits,
+            self.process.state_sync.cluster_state,
+        )
+        return cluster_state.min_version_for_irreversible(
+            model.model,
+            bounds.version_deadline_seconds,
+            at,
+            bounds.disturbance_hold_seconds,
+        )
 
     async def _unload_older(self, model: EngineModel, due: int) -> None:
         """Order the engine to unload weights that are older than ``due``."""
         async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
-            state = await self.engine.state()
-        if state.busy:
+            state = await self.engine.read_state()
+        if state.order_in_progress:
             # No request starts until the order ends, and then only on what it loads.
             return
-        held = held_version(state, model)
+        held = loaded_version(state, model)
         if held >= due:
             self._unloaded_below = due
             return
@@ -170,13 +178,13 @@
             self._retry_at = self.process.clock() + RECHECK_DELAY_SECONDS
             return
         async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
-            answer = await self.engine.unload(model.model, due, state.orders)
+            answer = await self.engine.unload(model.model, due, state.accepted_orders)
         load_fields = {"running": state.running, "waiting": state.waiting}
-        if answer is OrderAnswer.REFUSED:
+        if answer is OrderResponse.REFUSED:
             self._retry_at = self.process.clock() + RECHECK_DELAY_SECONDS
             self.process.events.emit("retirement.failed", why="refused", **load_fields)
             return
         self.process.events.emit(
             "weights.retired", version=held, due=due, **load_fields
         )
-        self.send_report(evolve(state, busy=True))
+        self.send_report(evolve(state, order_in_progress=True))
--- a/packages/wasabideck_agent/wasabideck_agent/runs.py
+++ b/packages/wasabideck_agent/wasabideck_agent/runner.py
@@ -8,26 +8,26 @@
 
 from attrs import define, field
 from wasabideck_base.events import Events
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
-from wasabideck_base.servers import (
-    Engine,
-    Generation,
-    Loaded,
-    PlainService,
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
+from wasabideck_base.server_clients import (
+    GenerationRequest,
+    ModelEngineClient,
+    PlainServiceClient,
+    ServedState,
     ServerDied,
     ServerFailed,
     ServerRefused,
     ServerSilent,
 )
-from wasabideck_policy.admission import Gate
+from wasabideck_policy.admission import AdmissionControl
 from wasabideck_policy.outcomes import Answered, Failure, NotRun, Outcome, Unknown
 from wasabideck_policy.quarantine import Quarantine, fingerprint
 from wasabideck_wire import inner_pb2 as pb
 
+from .at_most_once import AtMostOnce
 from .attempts import Attempt, Attempts
-from .once import Once
+from .exclusive_run import ExclusiveRun
 from .slots import Slot, Slots
-from .solo import Solo
 
 __all__ = ["Runner"]
 
@@ -53,18 +53,18 @@
     """
 
     vm: str
-    gate: Gate
+    gate: AdmissionControl
     events: Events
-    engine: Engine | None
-    plain: PlainService | None
-    once: Once
+    engine: ModelEngineClient | None
+    plain: PlainServiceClient | None
+    at_most_once: AtMostOnce
     attempts: Attempts
     quarantine: Quarantine = field(factory=Quarantine)
-    serving: Loaded = field(factory=Loaded)
+    serving: ServedState = field(factory=ServedState)
     clock: Callable[[], float] = time.monotonic
     wall: Callable[[], float] = time.time
-    exclusive_run: Solo = field(factory=Solo)
-    crashes: int = 0
+    exclusive_run: ExclusiveRun = field(factory=ExclusiveRun)
+    crash_count: int = 0
     open_streams: int = 0
     last_request_at: float = 0.0
     slots: Slots = field(init=False)
@@ -80,7 +80,7 @@
             return known
         self.last_request_at = now = self.clock()
         attempt = Attempt(req, now + req.deadline_ms / 1000)
-        barred = self.attempts.arrivals.arrive(
+        barred = self.attempts.arrivals.record_arrival(
             req.attempt, req.incarnation, req.not_after_ms / 1000, now
         )
         self.attempts.add(attempt)
@@ -99,7 +99,10 @@
         recorded, and no run request has arrived for ``min_idle_seconds``.
         """
         open_work = self.attempts.in_progress() or self.open_streams
-        open_claims = self.once.unrecorded or self.once.claims.pending_releases
+        open_claims = (
+            self.at_most_once.pending_records
+            or self.at_most_once.claims.pending_releases
+        )
         no_requests = self.clock() - self.last_request_at > min_idle_seconds
         return not open_work and not open_claims and no_requests
 
@@ -107,7 +110,7 @@
         """Cancel an attempt; whether it certainly did not run and never will."""
         attempt = self.attempts.get(req.attempt)
         if attempt is None:
-            return self.attempts.arrivals.give_up(
+            return self.attempts.arrivals.cancel(
                 req.attempt, req.incarnation, req.not_after_ms / 1000, self.clock()
             )
         await self.stop(attempt)
@@ -145,7 +148,7 @@
             # A server that is restarting fails the requests that arrive too early,
             # and each of them would be recorded as the cause of another crash.
             return NotRun(Failure("ServerDown", "the server has just crashed"), 1.0)
-        if self.quarantine.crashes and self.quarantine.refused(
+        if self.quarantine.crashes and self.quarantine.is_quarantined(
             _fingerprint(attempt.req), self.wall()
         ):
             return NotRun(
@@ -156,7 +159,7 @@
     def _must_run_alone(self, req: pb.RunRequest) -> bool:
         if req.alone or not self.quarantine.crashes:
             return req.alone
-        return self.quarantine.alone(_fingerprint(req), self.wall())
+        return self.quarantine.must_run_alone(_fingerprint(req), self.wall())
 
     async def _stop_engine(self, attempt: Attempt) -> None:
         if self.engine is None:
@@ -185,7 +188,7 @@
                 return refusal
             if attempt.req.repeatable:
                 return await self._serve(attempt)
-            return await self.once.run(attempt, self._serve)
+            return await self.at_most_once.run(attempt, self._serve)
 
     async def _serve(self, attempt: Attempt) -> Outcome:
         """Pass the request to the server; return its response or failure as outcome."""
@@ -205,10 +208,10 @@
         """Record that the request was running at a crash; return the crash's id."""
         now = self.clock()
         if now - self._crashed_at > SAME_CRASH_SECONDS:
-            self.crashes += 1
+            self.crash_count += 1
             self._crashed_at = now
-        crash = f"{self.vm}/{self.attempts.arrivals.incarnation}/{self.crashes}"
-        self.quarantine.record(_fingerprint(attempt.req), crash, self.wall())
+        crash = f"{self.vm}/{self.attempts.arrivals.incarnation}/{self.crash_count}"
+        self.quarantine.record_crash(_fingerprint(attempt.req), crash, self.wall())
         self.events.emit(
             "server.died", attempt=attempt.req.attempt, crash=crash, why=str(exc)
         )
@@ -242,7 +245,7 @@
                 # did not order the swap, the gate is closed here. If it did, the
                 # order closed the gate, and the next read-back sets it.
                 if line["version"] != self.serving.version:
-                    self.gate.open = False
+                    self.gate.accepting = False
                 return Unknown(Failure("MixedVersion", line["version"]), 1.0)
             attempt.add_event(piece=pb.Piece(data=line["text"].encode()))
             await attempt.wait_for_slow_reader()
@@ -250,9 +253,9 @@
             return Unknown(Failure("Cancelled", "cancelled while it ran"))
         return Answered()
 
-    def _generation(self, attempt: Attempt) -> Generation:
+    def _generation(self, attempt: Attempt) -> GenerationRequest:
         req = attempt.req
-        return Generation(
+        return GenerationRequest(
             req.attempt,
             req.route,
             req.body,
@@ -263,7 +266,7 @@
         )
 
 
-def _started_event(serving: Loaded) -> pb.Started:
+def _started_event(serving: ServedState) -> pb.Started:
     return pb.Started(
         ticket=serving.fence,
         model=serving.model,
--- a/packages/wasabideck_agent/wasabideck_agent/runs_service.py
+++ b/packages/wasabideck_agent/wasabideck_agent/runs_service.py
@@ -8,11 +8,11 @@
 from grpclib.server import Stream
 from wasabideck_policy.outcomes import Failure, NotRun, Outcome, Unknown
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.convert import final_from
+from wasabideck_wire.convert import outcome_to_final
 from wasabideck_wire.inner_grpc import RunsBase
 
 from .attempts import Attempt, EventsForgotten
-from .runs import Runner
+from .runner import Runner
 
 __all__ = ["RunsService"]
 
@@ -36,7 +36,7 @@
         req = await stream.recv_message()
         attempt = self.runner.attempts.get(req.attempt)
         if attempt is None:
-            final = final_from(self._resolve_unknown(req))
+            final = outcome_to_final(self._resolve_unknown(req))
             await stream.send_message(pb.RunEvent(offset=req.offset, final=final))
             return
         await self._stream_events(stream.send_message, attempt, req.offset)
@@ -53,7 +53,7 @@
         If the entry that sent the attempt resumes it, the attempt is barred. A query
         with ``watch`` does not bar it.
         """
-        if not req.watch and self.runner.attempts.arrivals.give_up(
+        if not req.watch and self.runner.attempts.arrivals.cancel(
             req.attempt, req.incarnation, req.not_after_ms / 1000, self.runner.clock()
         ):
             return NotRun(
@@ -71,10 +71,10 @@
     ) -> None:
         self.runner.open_streams += 1
         try:
-            with attempt.reading(self.runner.clock):
+            with attempt.attach_reader(self.runner.clock):
                 await self._send_until_final(send, attempt, offset)
         except EventsForgotten as exc:
-            final = final_from(Unknown(Failure("EventsForgotten", str(exc))))
+            final = outcome_to_final(Unknown(Failure("EventsForgotten", str(exc))))
             await send(pb.RunEvent(offset=offset, final=final))
         finally:
             self.runner.open_streams -= 1
--- a/packages/wasabideck_agent/wasabideck_agent/serving.py
+++ b/packages/wasabideck_agent/wasabideck_agent/serving.py
@@ -8,24 +8,24 @@
 import aiohttp
 from aiohttp import web
 from wasabideck_base.addresses import split_address
-from wasabideck_base.channels import observe_clock
+from wasabideck_base.channels import exchange_clock
 from wasabideck_base.events import EventFile, open_events
 from wasabideck_base.inner_limits import InnerServer
 from wasabideck_base.metrics import render_metrics
 from wasabideck_base.process import (
     announce_ready,
-    binding,
-    cancel_all,
-    first_of,
-    reread_keys,
+    cancel_and_wait,
+    convert_bind_errors,
+    key_reload_loops,
+    wait_until_stopped,
 )
 from wasabideck_base.settings import AgentSettings
-from wasabideck_base.tls import Keys
+from wasabideck_base.tls import TlsContexts
 from wasabideck_policy.membership import AGENT
 
 from .agent import Agent
 from .assembly import assemble_agent, background_loops, inner_services
-from .links import give_way_to_live
+from .links import count_live_traffic
 
 __all__ = ["serve_agent"]
 
@@ -40,26 +40,26 @@
 async def serve_agent(cfg: AgentSettings, stop: asyncio.Event) -> None:
     """Serve until ``stop`` is set, then finish the requests in progress."""
     events, file = open_events(cfg.process.vm, cfg.process.events)
-    keys = Keys(cfg.tls) if cfg.tls else None
+    keys = TlsContexts(cfg.tls) if cfg.tls else None
     async with aiohttp.ClientSession() as session:
         agent = assemble_agent(cfg, events, session, keys)
         events.listeners.append(agent.metrics.count)
         server = InnerServer(inner_services(agent))
-        observe_clock(server, events.clock)
-        give_way_to_live(server, agent.links)
+        exchange_clock(server, events.clock)
+        count_live_traffic(server, agent.links)
         host, port = split_address(cfg.process.inner)
-        with binding(cfg.process.inner):
+        with convert_bind_errors(cfg.process.inner):
             await server.start(host, port, ssl=keys and keys.inner_server)
         http = await _serve_http(agent, file, keys)
         inner = server._server.sockets[0].getsockname()
         events.emit("process.ready", kind=AGENT)
-        agent.runner.once.holder.address = f"{inner[0]}:{inner[1]}"
+        agent.runner.at_most_once.holder.address = f"{inner[0]}:{inner[1]}"
         announce_ready(vm=agent.vm, inner=f"{inner[0]}:{inner[1]}", http=http)
-        loops = [*background_loops(agent), *reread_keys(keys, events)]
+        loops = [*background_loops(agent), *key_reload_loops(keys, events)]
         tasks = [asyncio.create_task(loop) for loop in loops]
-        await first_of(stop, tasks)
+        await wait_until_stopped(stop, tasks)
         await _drain(agent)
-        await cancel_all(tasks)
+        await cancel_and_wait(tasks)
         server.close()
         agent.channels.close()
         events.emit("process.stopped", kind=AGENT)
@@ -72,8 +72,8 @@
     until every entry has learned of the shutdown, from a notification or from a
     refusal: the outcome of a request on a closing connection would be unknown.
     """
-    agent.runner.gate.leaving = True
-    agent.peers_service.tell()
+    agent.runner.gate.draining = True
+    agent.peers_service.notify_watchers()
     agent.events.emit("process.leaving", kind=AGENT)
     limit = time.monotonic() + MAX_DRAIN_SECONDS
     await asyncio.sleep(MIN_DRAIN_SECONDS)
@@ -85,26 +85,26 @@
     await agent.delivery_rows.write()
 
 
-async def _serve_http(agent: Agent, file: EventFile, keys: Keys | None) -> str:
+async def _serve_http(agent: Agent, file: EventFile, keys: TlsContexts | None) -> str:
     """Serve /metrics and /ready; return the bound address."""
 
     async def metrics(req: web.Request) -> web.Response:
         agent.metrics.in_progress.set({}, len(agent.runner.attempts.in_progress()))
-        agent.metrics.events_lost.set({}, file.lost)
+        agent.metrics.events_lost.set({}, file.lost_events)
         agent.update_link_metrics()
         body, headers = render_metrics(agent.metrics, req.headers.get("accept", ""))
         return web.Response(body=body, headers=headers)
 
     async def ready(req: web.Request) -> web.Response:
-        return web.Response(status=200 if agent.runner.gate.open else 503)
+        return web.Response(status=200 if agent.runner.gate.accepting else 503)
 
     app = web.Application()
     app.add_routes([web.get("/metrics", metrics), web.get("/ready", ready)])
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     host, port = split_address(agent.cfg.process.http)
-    site = web.TCPSite(runner, host, port, ssl_context=keys and keys.http)
-    with binding(agent.cfg.process.http):
+    site = web.TCPSite(runner, host, port, ssl_context=keys and keys.caller_server)
+    with convert_bind_errors(agent.cfg.process.http):
         await site.start()
     bound = runner.addresses[0]
     return f"{bound[0]}:{bound[1]}"
--- a/packages/wasabideck_agent/wasabideck_agent/slots.py
+++ b/packages/wasabideck_agent/wasabideck_agent/slots.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from attrs import define, field
-from wasabideck_policy.admission import Gate, admit, late_refusal
-from wasabideck_policy.concurrency import AdaptiveLimit
-from wasabideck_policy.fair_queue import Waiting
+from wasabideck_policy.admission import AdmissionControl, admit, timeout_refusal
+from wasabideck_policy.concurrency_limit import AdaptiveConcurrencyLimit
+from wasabideck_policy.fair_queue import WaitingRequest
 from wasabideck_policy.outcomes import NotRun
 
 from .attempts import Attempt
@@ -29,10 +29,10 @@
         Determines the capacity of a server that reports no load.
     """
 
-    gate: Gate
+    gate: AdmissionControl
     clock: Callable[[], float]
-    limit: AdaptiveLimit | None = None
-    _grants: dict[Waiting, asyncio.Future] = field(factory=dict)
+    limit: AdaptiveConcurrencyLimit | None = None
+    _grants: dict[WaitingRequest, asyncio.Future] = field(factory=dict)
     _poll_task: asyncio.Task | None = None
 
     def refusal(self, attempt: Attempt) -> NotRun | None:
@@ -63,17 +63,17 @@
         if self.limit and seconds is not None:
             self.limit.observe(seconds, self.gate.running)
             self.gate.capacity = self.limit.slots
-        self.gate.end(seconds)
+        self.gate.release_slot(seconds)
         self.assign()
 
     def assign(self) -> None:
         """Refuse requests that cannot end before their deadline; assign free slots."""
         now = self.clock()
-        for waiting in self.gate.queue.late(now, self.gate.service_time):
+        for waiting in self.gate.queue.expired(now, self.gate.service_seconds):
             if self.gate.running or waiting.deadline <= now:
                 self.gate.queue.remove(waiting)
-                self._resolve(waiting, late_refusal(self.gate, waiting, now))
-        while first := self.gate.next(now):
+                self._resolve(waiting, timeout_refusal(self.gate, waiting, now))
+        while first := self.gate.start_next(now):
             self._resolve(first, None)
         self.gate.waiting = len(self.gate.queue)
 
@@ -86,10 +86,10 @@
             await asyncio.sleep(GATE_POLL_INTERVAL_SECONDS)
             self.assign()
 
-    def _resolve(self, waiting: Waiting, refusal: NotRun | None) -> None:
+    def _resolve(self, waiting: WaitingRequest, refusal: NotRun | None) -> None:
         self._grants.pop(waiting).set_result(refusal)
 
-    def _withdraw(self, waiting: Waiting, grant: asyncio.Future) -> None:
+    def _withdraw(self, waiting: WaitingRequest, grant: asyncio.Future) -> None:
         """Undo a cancelled wait; release its slot if it was already assigned."""
         if not grant.done():
             del self._grants[waiting]
@@ -122,6 +122,6 @@
         self.slots.release(self.slots.clock() - self.acquired_at if ran else None)
 
 
-def _waiting(attempt: Attempt, now: float) -> Waiting:
+def _waiting(attempt: Attempt, now: float) -> WaitingRequest:
     req = attempt.req
-    return Waiting(req.organisation, req.priority, now, attempt.deadline)
+    return WaitingRequest(req.organisation, req.priority, now, attempt.deadline)
--- a/packages/wasabideck_agent/wasabideck_agent/staging.py
+++ b/packages/wasabideck_agent/wasabideck_agent/staging.py
@@ -10,12 +10,12 @@
 from attrs import define, field
 from wasabideck_base.events import Events
 from wasabideck_policy.configuration import EngineModel
-from wasabideck_policy.engine_state import EngineState, OrderAnswer
+from wasabideck_policy.engine_state import EngineState, OrderResponse
 from wasabideck_policy.manifests import CorruptChunk, Manifest, verify_chunk
 
 from .chunk_store import ChunkStore
 
-__all__ = ["Engine", "Staging", "held_version"]
+__all__ = ["Engine", "Staging", "loaded_version"]
 
 # A chunk that becomes corrupt in the staging area may be loaded for three seconds after
 # that. Verification takes 0.1 to 0.2 s, and its result ages on a VM that is slow or was
@@ -32,24 +32,24 @@
 class Engine(Protocol):
     """The interface of the engine beside an agent."""
 
-    async def state(self) -> EngineState:
+    async def read_state(self) -> EngineState:
         """Return the engine's weights, load and progress."""
 
-    async def stage(self, model: str, index: int, data: bytes) -> None:
+    async def stage_chunk(self, model: str, index: int, data: bytes) -> None:
         """Write a chunk to the staging area, from which the engine loads it."""
 
-    async def staged(self, model: str) -> list[int]:
+    async def staged_chunks(self, model: str) -> list[int]:
         """Return the indices of the staged chunks."""
 
-    async def staged_piece(self, model: str, index: int) -> bytes | None:
+    async def staged_chunk(self, model: str, index: int) -> bytes | None:
         """Return the bytes of a staged chunk, or None if it isn't staged."""
 
     async def load(
         self, model: str, version: int, queue: bool, accepted: int
-    ) -> OrderAnswer:
+    ) -> OrderResponse:
         """Load the staged chunks, unless another order was accepted since."""
 
-    async def unload(self, model: str, version: int, accepted: int) -> OrderAnswer:
+    async def unload(self, model: str, version: int, accepted: int) -> OrderResponse:
         """Start no more requests, and unload the weights when the running ones end."""
 
 
@@ -79,7 +79,7 @@
         for index, digest in enumerate(manifest.chunks):
             data = self.store.get(digest)
             if data is not None and index not in self.staged_indices:
-                await self.engine.stage(manifest.model, index, data)
+                await self.engine.stage_chunk(manifest.model, index, data)
                 self.staged_indices.add(index)
 
     async def verify(self, manifest: Manifest) -> EngineState:
@@ -92,7 +92,7 @@
         """
         for _ in range(MAX_CHECKS):
             await self.repair(manifest)
-            state = await self.engine.state()
+            state = await self.engine.read_state()
             if (
                 self.boot_clock() - min(self._verified_at.values())
                 <= MAX_CHECK_AGE_SECONDS
@@ -120,11 +120,13 @@
                 <= REUSED_CHECK_AGE_SECONDS
             ):
                 continue
-            staged = await self.engine.staged_piece(manifest.model, index)
+            staged = await self.engine.staged_chunk(manifest.model, index)
             self._verified_at[index] = now
             if not _intact(staged, digest):
                 repaired += 1
-                await self.engine.stage(manifest.model, index, self.store.get(digest))
+                await self.engine.stage_chunk(
+                    manifest.model, index, self.store.get(digest)
+                )
         if repaired:
             self.events.emit(
                 "staging.mended", version=manifest.version, pieces=repaired
@@ -135,17 +137,17 @@
         """Store intact chunks that are staged already, and return their number."""
         self._switch_to(manifest)
         stored = 0
-        for index in await self.engine.staged(manifest.model):
+        for index in await self.engine.staged_chunks(manifest.model):
             if not 0 <= index < len(manifest.chunks):
                 continue
             digest = manifest.chunks[index]
             if self.store.get(digest) is not None:
                 continue
             now = self.boot_clock()
-            staged = await self.engine.staged_piece(manifest.model, index)
+            staged = await self.engine.staged_chunk(manifest.model, index)
             if _intact(staged, digest):
                 self._verified_at[index] = now
-                self.store.add(digest, staged, "staged")
+                self.store.add_chunk(digest, staged, "staged")
                 self.staged_indices.add(index)
                 stored += 1
         return stored
@@ -171,7 +173,7 @@
     return True
 
 
-def held_version(state: EngineState, model: EngineModel) -> int:
+def loaded_version(state: EngineState, model: EngineModel) -> int:
     """Return the version of which an engine holds all layers, or 0 for none."""
     complete = [
         part.version
--- a/packages/wasabideck_agent/wasabideck_agent/swap_turns.py
+++ b/packages/wasabideck_agent/wasabideck_agent/swap_scheduler.py
@@ -8,9 +8,9 @@
 from collections.abc import Awaitable, Callable
 
 from attrs import define, field
-from wasabideck_base.channels import LINK_FAILURES, Channels
+from wasabideck_base.channels import CALL_FAILURES, Channels
 from wasabideck_policy.membership import Member
-from wasabideck_policy.turns import may_swap, own_turn, patience
+from wasabideck_policy.swap_schedule import in_own_slot, max_swap_wait, may_swap
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.inner_grpc import PeersStub
 
@@ -45,11 +45,11 @@
 
     async def wait(self, ticket: int, swap_seconds: float) -> None:
         """Return when this server may swap, or when the maximum wait is over."""
-        limit = self.clock() + patience(swap_seconds)
+        limit = self.clock() + max_swap_wait(swap_seconds)
         while self.clock() < limit:
             peers = [peer for peer in self.peers() if self._is_counted(peer)]
             vms = {self.vm, *(peer.vm for peer in peers)}
-            if own_turn(self.vm, ticket, vms, self.wall()):
+            if in_own_slot(self.vm, ticket, vms, self.wall()):
                 queried = self.rng.sample(peers, min(MAX_QUERIED_PEERS, len(peers)))
                 if await self._may_swap(queried):
                     return
@@ -85,8 +85,8 @@
             reply = await stub.Status(
                 pb.StatusRequest(vm=vm), timeout=STATUS_TIMEOUT_SECONDS
             )
-        except LINK_FAILURES:
-            channels.drop(peer.address)
+        except CALL_FAILURES:
+            channels.close_channel(peer.address)
             return None
         return reply.serving and not reply.leaving
 
--- a/packages/wasabideck_agent/wasabideck_agent/transfer.py
+++ b/packages/wasabideck_agent/wasabideck_agent/transfer.py
@@ -11,29 +11,29 @@
 from typing import TYPE_CHECKING
 
 from attrs import define, field
-from wasabideck_base.channels import LINK_FAILURES
+from wasabideck_base.channels import CALL_FAILURES
 from wasabideck_base.events import Events
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
 from wasabideck_base.weights_settings import WeightsSettings
-from wasabideck_policy.baselines import POLICIES
+from wasabideck_policy.baseline_policies import FETCH_POLICIES
 from wasabideck_policy.fetch_window import FetchWindow
 from wasabideck_policy.manifests import CorruptChunk, Manifest
 from wasabideck_policy.membership import Member
 from wasabideck_policy.outcomes import WasabideckError
-from wasabideck_policy.views import (
+from wasabideck_policy.transfer_view import (
     ORIGIN,
     Fetch,
-    Limits,
-    View,
-    begin,
-    end,
+    FetchLimits,
+    TransferView,
     gateways,
-    got,
-    got_corrupt,
-    hear,
-    lose,
-    origin_failed,
-    refused,
+    record_chunk,
+    record_corrupt_chunk,
+    record_fetch_end,
+    record_fetch_start,
+    record_holdings,
+    record_origin_failure,
+    record_peer_failure,
+    record_refusal,
     set_members,
 )
 from wasabideck_wire import inner_pb2 as pb
@@ -47,7 +47,7 @@
 if TYPE_CHECKING:
     # The client library of Origin takes a fifth of an agent's startup time, and is not
     # used on every platform.
-    from wasabideck_base.weights import Origin
+    from wasabideck_base.weight_origin import WeightOriginClient
 
 __all__ = ["Transfer", "limits_of"]
 
@@ -70,20 +70,20 @@
     """A peer refused to send the chunk now."""
 
 
-def limits_of(cfg: WeightsSettings, chunk_bytes: int, spare: int = 0) -> Limits:
+def limits_of(cfg: WeightsSettings, chunk_bytes: int, spare: int = 0) -> FetchLimits:
     """Return a transfer's limits, derived from the settings."""
     slot = chunk_bytes / cfg.link_rate if cfg.link_rate else 0.0
     slot = max(slot, MIN_SLOT_SECONDS)
     patience = max(ORIGIN_TIMEOUT_SLOTS * slot, MIN_ORIGIN_TIMEOUT_SECONDS)
     if cfg.profile == ORIGIN_BYTES_PROFILE:
         patience *= ORIGIN_BYTES_TIMEOUT_FACTOR
-    return Limits(
+    return FetchLimits(
         cfg.fetches,
         cfg.far_fetches,
-        a_peer=cfg.fetches_a_peer,
-        spare=spare,
-        slot=slot,
-        patience=patience,
+        fetches_per_peer=cfg.fetches_a_peer,
+        spare_reads=spare,
+        slot_seconds=slot,
+        stall_seconds=patience,
     )
 
 
@@ -95,7 +95,7 @@
     ----------
     me : Member
         This agent's VM, region and data centre.
-    peers_of : callable
+    list_peers : callable
         Returns the other agents that want or hold the same manifest.
     sources : dict of str to int
         Bytes received per source.
@@ -109,11 +109,11 @@
     manifest: Manifest
     store: ChunkStore
     service: ChunksService
-    origin: Origin
+    origin: WeightOriginClient
     calls: PeerCalls
     links: Links
     events: Events
-    peers_of: Callable[[], list[Member]]
+    list_peers: Callable[[], list[Member]]
     cfg: WeightsSettings
     rng: random.Random
     clock: Callable[[], float] = time.monotonic
@@ -122,7 +122,7 @@
     polls: int = 0
     started_at: float = 0.0
     origin_read_at: float = 0.0
-    view: View = field(init=False)
+    view: TransferView = field(init=False)
     window: FetchWindow = field(init=False)
     _digest: str = field(init=False)
     _members: list[Member] = field(factory=list)
@@ -135,7 +135,7 @@
     def __attrs_post_init__(self) -> None:
         """Initialise the view with the chunks that the store holds."""
         self._digest = self.manifest.digest
-        self.view = View(
+        self.view = TransferView(
             self.me.vm,
             self.manifest.chunks,
             self.clock(),
@@ -143,17 +143,21 @@
             self.me.data_centre,
             self.cfg.origin_region,
             limits_of(self.cfg, self.manifest.chunk_bytes, self._spare_chunks()),
-            held=self.store.held(self.manifest),
+            held=self.store.held_chunks(self.manifest),
         )
         limits = self.view.limits
-        max_fetches = limits.near + limits.far + limits.reads
-        self.window = FetchWindow(max_fetches, limits.slot)
-        self.view.fed_at = self.started_at = self.origin_read_at = self.view.begun
+        max_fetches = (
+            limits.region_fetches + limits.cross_region_fetches + limits.origin_reads
+        )
+        self.window = FetchWindow(max_fetches, limits.slot_seconds)
+        self.view.last_received_at = self.started_at = self.origin_read_at = (
+            self.view.started_at
+        )
 
     def _spare_chunks(self) -> int:
         """Return how many chunks beyond the first copy may be read from the origin."""
         chunks = self.cfg.spare_copies * len(self.manifest.chunks)
-        return round(chunks / (len(self.peers_of()) + 1))
+        return round(chunks / (len(self.list_peers()) + 1))
 
     async def run(self) -> None:
         """Fetch until every chunk is held and verified."""
@@ -161,7 +165,7 @@
         self._update_members()
         polling = asyncio.create_task(self._poll_holdings())
         try:
-            while not self.store.whole(self.manifest):
+            while not self.store.is_complete(self.manifest):
                 if polling.done():
                     polling.result()
                 self._start_fetches()
@@ -184,7 +188,7 @@
 
     def seconds_without_progress(self) -> float:
         """Return the seconds since a chunk was last received."""
-        return self.clock() - max(self.view.fed_at, self.started_at)
+        return self.clock() - max(self.view.last_received_at, self.started_at)
 
     async def _wait(self) -> None:
         """Wait for a change, or until a peer that was backed off may be retried."""
@@ -193,13 +197,13 @@
         # superseded transfer would continue. The scope of asyncio.timeout counts
         # cancellations and loses none.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self.view.limits.slot):
+            async with asyncio.timeout(self.view.limits.slot_seconds):
                 await self._changed.wait()
 
     def _start_fetches(self) -> None:
-        policy = POLICIES[self.cfg.policy]
+        policy = FETCH_POLICIES[self.cfg.policy]
         while self.view.wanted and self.view.active.bit_count() < self.window.limit:
-            fetch = policy.fetch(self.view, self.clock(), self.rng)
+            fetch = policy.choose_fetch(self.view, self.clock(), self.rng)
             if fetch is None:
                 return
             self._mark_started(fetch)
@@ -213,16 +217,16 @@
                 self._reads[fetch.index] = task
 
     def _mark_started(self, fetch: Fetch) -> None:
-        begin(self.view, fetch)
-        if fetch.far or fetch.source == ORIGIN:
+        record_fetch_start(self.view, fetch)
+        if fetch.cross_region or fetch.source == ORIGIN:
             self.service.reading[self._digest] |= 1 << fetch.index
 
     def _mark_ended(self, fetch: Fetch, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if fetch.source == ORIGIN and not fetch.spare:
             del self._reads[fetch.index]
-        end(self.view, fetch)
-        if fetch.far or fetch.source == ORIGIN:
+        record_fetch_end(self.view, fetch)
+        if fetch.cross_region or fetch.source == ORIGIN:
             self.service.reading[self._digest] &= ~(1 << fetch.index)
         self._changed.set()
 
@@ -231,54 +235,59 @@
         started = self.clock()
         try:
             data = await self._read(fetch, digest)
-            self.store.add(digest, data, fetch.source)
+            self.store.add_chunk(digest, data, fetch.source)
         except CorruptChunk as exc:
-            got_corrupt(self.view, fetch, self.clock())
+            record_corrupt_chunk(self.view, fetch, self.clock())
             self.events.emit("transfer.corrupt", source=fetch.source, why=str(exc))
         except _Refused:
             self.refusals += 1
-            refused(self.view, fetch, self.clock(), self.rng)
-        except LINK_FAILURES:
+            record_refusal(self.view, fetch, self.clock(), self.rng)
+        except CALL_FAILURES:
             self._mark_lost(fetch.source)
         except (PlatformUnavailable, PlatformRefused):
-            origin_failed(self.view, self.clock())
+            record_origin_failure(self.view, self.clock())
         else:
-            self.window.took(self.clock() - started)
+            self.window.record_duration(self.clock() - started)
             self._record_received(fetch, len(data))
 
     def _record_received(self, fetch: Fetch, size: int) -> None:
-        got(self.view, fetch, self.clock())
+        record_chunk(self.view, fetch, self.clock())
         if fetch.source == ORIGIN:
             self.origin_read_at = self.clock()
         source = fetch.source or ORIGIN_NAME
         self.sources[source] = self.sources.get(source, 0) + size
 
     async def _read(self, fetch: Fetch, digest: str) -> bytes:
-        if fetch.far:
+        if fetch.cross_region:
             await self.links.region.send(self.manifest.chunk_bytes)
         if fetch.source != ORIGIN:
             try:
                 return await self._read_peer(fetch)
             except _Refused:
                 # The reserved transmission time on the region's link was not used.
-                if fetch.far:
+                if fetch.cross_region:
                     self.links.region.release(self.manifest.chunk_bytes)
                 raise
-        data = await self.origin.chunk(digest, self.me.vm)
+        data = await self.origin.read_chunk(digest, self.me.vm)
         await self.links.down.receive(len(data))
         return data
 
     async def _read_peer(self, fetch: Fetch) -> bytes:
         address, view = self._address(fetch.source), self.view
-        starving = self.clock() - view.fed_at > STARVING_SLOTS * view.limits.slot
+        starving = (
+            self.clock() - view.last_received_at
+            > STARVING_SLOTS * view.limits.slot_seconds
+        )
         req = pb.FetchRequest(
             manifest=self._digest,
             index=fetch.index,
             vm=self.me.vm,
             have=to_bitmap(view.held),
-            urgent=starving or not POLICIES[self.cfg.policy].shares,
+            urgent=starving or not FETCH_POLICIES[self.cfg.policy].limits_uploads,
+        )
+        timeout = max(
+            FETCH_TIMEOUT_SLOTS * view.limits.slot_seconds, MIN_FETCH_TIMEOUT_SECONDS
         )
-        timeout = max(FETCH_TIMEOUT_SLOTS * view.limits.slot, MIN_FETCH_TIMEOUT_SECONDS)
         parts: list[bytes] = []
         async with contextlib.aclosing(
             self.calls.fetch(address, req, timeout)
@@ -297,24 +306,24 @@
 
     async def _poll_holdings(self) -> None:
         """Poll a few peers for their holdings, more often while nothing is fetched."""
-        slot = min(self.view.limits.slot, MAX_POLL_SLOT_SECONDS)
+        slot = min(self.view.limits.slot_seconds, MAX_POLL_SLOT_SECONDS)
         while True:
             self._update_members()
-            policy = POLICIES[self.cfg.policy]
-            vms = policy.ask(self.view, self.clock(), self.rng)
+            policy = FETCH_POLICIES[self.cfg.policy]
+            vms = policy.peers_to_query(self.view, self.clock(), self.rng)
             await asyncio.gather(*(self._poll_peer(vm) for vm in vms))
             interval = self.cfg.ask_slots * slot
             await asyncio.sleep(interval if self.view.active else slot / 2)
 
     def _update_members(self) -> None:
-        members = self.peers_of()
+        members = self.list_peers()
         if members == self._members and self.view.owners.ranks:
             return
         self._members = members
         self._addresses = {member.vm: member.address for member in members}
         set_members(self.view, self._digest, members)
         local = [m.vm for m in members if m.region == self.me.region]
-        if POLICIES[self.cfg.policy].shares:
+        if FETCH_POLICIES[self.cfg.policy].limits_uploads:
             sharers = len(gateways(self._digest, self.me.region, [self.me.vm, *local]))
         else:
             sharers = 1 + len(local)
@@ -328,7 +337,7 @@
         )
         try:
             reply = await self.calls.holdings(address, req, self.cfg.call_seconds)
-        except LINK_FAILURES:
+        except CALL_FAILURES:
             # Messages are delayed behind a full link, too. While parts of chunks arrive
             # the peer is alive, and closing the connection would discard them.
             received_at = self._received_at.get(vm, float("-inf"))
@@ -347,7 +356,7 @@
     def _record_holdings(
         self, vm: str, held: int, sent: int = 0, reading: int | None = None
     ) -> None:
-        hear(self.view, vm, held, self.clock(), sent, reading)
+        record_holdings(self.view, vm, held, self.clock(), sent, reading)
         self._cancel_redundant_reads()
         # A transfer with the maximum number of fetches cannot use the information, and
         # each wake-up costs processor time.
@@ -360,14 +369,14 @@
         A read can stall for as long as its timeout, which has to allow for a queue at
         the origin. By then another VM may have read the chunk instead of this one.
         """
-        if not POLICIES[self.cfg.policy].shares:
+        if not FETCH_POLICIES[self.cfg.policy].limits_uploads:
             return
         for index, task in self._reads.items():
-            if self.view.seen >> index & 1:
+            if self.view.available >> index & 1:
                 task.cancel()
 
     def _mark_lost(self, vm: str) -> None:
         """Mark a peer as lost, and drop the connection to it as unresponsive."""
-        lose(self.view, vm, self.clock())
+        record_peer_failure(self.view, vm, self.clock())
         if address := self._addresses.get(vm):
             self.calls.drop(address)
--- a/packages/wasabideck_agent/wasabideck_agent/version_choice.py
+++ b/packages/wasabideck_agent/wasabideck_agent/version_choice.py
@@ -6,11 +6,11 @@
 import contextlib
 
 from attrs import define, field
-from wasabideck_base.node_process import NodeProcess
+from wasabideck_base.vm_process import VMProcess
 from wasabideck_policy.configuration import EngineModel
 from wasabideck_policy.manifests import Manifest
 from wasabideck_policy.outcomes import WasabideckError
-from wasabideck_policy.superseding import finishes_older
+from wasabideck_policy.superseded_transfer import finish_older_first
 
 from .numbered_manifests import NumberedManifests
 from .transfer import Transfer
@@ -29,7 +29,7 @@
 class VersionChoice:
     """Selects among versions that were declared in short succession."""
 
-    process: NodeProcess
+    process: VMProcess
     manifests: NumberedManifests
     _started_at: dict[int, float] = field(factory=dict)
     _finishing: set[int] = field(factory=set)
@@ -84,13 +84,13 @@
         self, model: EngineModel, held: int, newest: int
     ) -> Manifest | None:
         """Return a version between the held and the newest that is worth fetching."""
-        beliefs, now = self.process.believer.beliefs, self.process.clock()
-        within = self.process.cfg.bounds.version
-        for version in reversed(beliefs.versions(model.model)):
+        cluster_state, now = self.process.state_sync.cluster_state, self.process.clock()
+        within = self.process.cfg.limits.version_deadline_seconds
+        for version in reversed(cluster_state.versions(model.model)):
             manifest = self.manifests.known(version)
             if not held < version < newest or manifest is None:
                 continue
-            over_at = beliefs.over_at(model.model, version, within)
+            over_at = cluster_state.expires_at(model.model, version, within)
             if over_at is not None and over_at - now >= MIN_SERVING_SECONDS:
                 return manifest
         return None
@@ -126,9 +126,9 @@
         """Whether the transfer of a superseded version is completed nevertheless."""
         cfg = self.process.cfg
         chunks = len(manifest.chunks)
-        return finishes_older(
+        return finish_older_first(
             missing / chunks,
             self.process.clock() - self._started_at[int(manifest.version)],
-            chunks * manifest.chunk_bytes / max(cfg.link_rate, 1.0),
-            cfg.bounds.version,
+            chunks * manifest.chunk_bytes / max(cfg.link_bytes_per_second, 1.0),
+            cfg.limits.version_deadline_seconds,
         )
--- a/packages/wasabideck_base/wasabideck_base/channels.py
+++ b/packages/wasabideck_base/wasabideck_base/channels.py
@@ -18,19 +18,19 @@
 )
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 from grpclib.server import Server
-from wasabideck_wire.malformed import MalformedMessage
+from wasabideck_wire.errors import MalformedMessage
 
 from .addresses import split_address
-from .events import Clock
+from .events import HybridClock
 from .inner_limits import InnerChannel
 
-__all__ = ["LINK_FAILURES", "Channels", "observe_clock"]
+__all__ = ["CALL_FAILURES", "Channels", "exchange_clock"]
 
 CLOCK_METADATA_KEY = "wasabideck-hlc"
 
 # The exceptions of a call over a broken, refused or unresponsive connection, or to a
 # peer that returns a malformed response.
-LINK_FAILURES = (
+CALL_FAILURES = (
     GRPCError,
     StreamTerminatedError,
     OSError,
@@ -45,27 +45,27 @@
 
     Attributes
     ----------
-    window : int
+    window_bytes : int
         Flow-control window of each response in bytes; 0 for the library's default.
     """
 
-    clock: Clock
+    clock: HybridClock
     ssl: ssl.SSLContext | None = None
-    window: int = 0
+    window_bytes: int = 0
     _open: dict[str, Channel] = field(factory=dict)
 
     def get(self, address: str) -> Channel:
         """Return the channel to an address."""
         if address not in self._open:
             host, port = split_address(address)
-            channel = InnerChannel(host, port, self.ssl, self.window)
+            channel = InnerChannel(host, port, self.ssl, self.window_bytes)
             listen(channel, SendRequest, self._send_clock)
             listen(channel, RecvInitialMetadata, self._receive_clock)
             listen(channel, RecvTrailingMetadata, self._receive_clock)
             self._open[address] = channel
         return self._open[address]
 
-    def drop(self, address: str, failed: Channel | None = None) -> None:
+    def close_channel(self, address: str, failed: Channel | None = None) -> None:
         """Close an unresponsive channel; the next call opens a new one.
 
         With ``failed``, only that channel is closed: when a connection breaks, each
@@ -81,7 +81,7 @@
     def close(self) -> None:
         """Close all channels."""
         for address in list(self._open):
-            self.drop(address)
+            self.close_channel(address)
 
     async def _send_clock(self, event: SendRequest) -> None:
         event.metadata[CLOCK_METADATA_KEY] = str(self.clock.last)
@@ -89,14 +89,14 @@
     async def _receive_clock(
         self, event: RecvInitialMetadata | RecvTrailingMetadata
     ) -> None:
-        self.clock.hear(event.metadata.get(CLOCK_METADATA_KEY))
+        self.clock.observe_text(event.metadata.get(CLOCK_METADATA_KEY))
 
 
-def observe_clock(server: Server, clock: Clock) -> None:
+def exchange_clock(server: Server, clock: HybridClock) -> None:
     """Exchange clock stamps with a server's clients in requests and responses."""
 
     async def receive_clock(event: RecvRequest) -> None:
-        clock.hear(event.metadata.get(CLOCK_METADATA_KEY))
+        clock.observe_text(event.metadata.get(CLOCK_METADATA_KEY))
 
     async def send_clock(event: SendInitialMetadata | SendTrailingMetadata) -> None:
         event.metadata[CLOCK_METADATA_KEY] = str(clock.last)
--- a/packages/wasabideck_base/wasabideck_base/packing.py
+++ b/packages/wasabideck_base/wasabideck_base/compression.py
@@ -7,12 +7,12 @@
 
 from wasabideck_policy.outcomes import WasabideckError
 
-__all__ = ["MOST_CONTENT_BYTES", "MalformedContent", "packed", "unpacked"]
+__all__ = ["MAX_CONTENT_BYTES", "MalformedContent", "compress", "decompress"]
 
 # The fastest level: entries compress a new configuration while callers wait.
 COMPRESSION_LEVEL = 1
 # Equal to the maximum size of one message of the inner protocol.
-MOST_CONTENT_BYTES = 8 << 20
+MAX_CONTENT_BYTES = 8 << 20
 # Several compressed contents are cached: the newest configuration is sent to many
 # peers, and an earlier one may still be sent meanwhile.
 MAX_CACHED_CONTENTS = 4
@@ -27,16 +27,16 @@
 
 
 @lru_cache(MAX_CACHED_CONTENTS)
-def packed(content: bytes) -> bytes:
+def compress(content: bytes) -> bytes:
     """Return the content compressed."""
     return zlib.compress(content, COMPRESSION_LEVEL)
 
 
-def unpacked(key: str, data: bytes) -> bytes:
+def decompress(key: str, data: bytes) -> bytes:
     """Return the decompressed content; raises ``MalformedContent``."""
     decompressor = zlib.decompressobj()
     try:
-        content = decompressor.decompress(data, MOST_CONTENT_BYTES)
+        content = decompressor.decompress(data, MAX_CONTENT_BYTES)
     except zlib.error as exc:
         raise MalformedContent(key, str(exc)) from exc
     if not decompressor.eof:
--- a/packages/wasabideck_base/wasabideck_base/version_dates.py
+++ b/packages/wasabideck_base/wasabideck_base/declaration_times.py
@@ -18,8 +18,8 @@
 from wasabideck_policy.outcomes import WasabideckError
 
 from .events import Events
-from .http_answers import PlatformRefused, PlatformUnavailable
-from .rows import Changes, Row, RowStore, RowWrite, WriteConflict
+from .http_responses import PlatformRefused, PlatformUnavailable
+from .rows import Row, RowChanges, RowStore, RowWrite, WriteConflict
 
 __all__ = ["TIMES_TABLE", "MalformedDates", "DeclarationTimes", "declaration_times_of"]
 
@@ -163,13 +163,13 @@
         requested_at = self.clock()
         async with asyncio.timeout(READ_TIMEOUT_SECONDS):
             changes = await self.store.read(TIMES_TABLE)
-        if changes.answered_at is None:
+        if changes.store_responded_at is None:
             raise PlatformUnavailable(TIMES_TABLE, "no time in the answer", False)
-        self._apply_times(changes, changes.answered_at - requested_at)
+        self._apply_times(changes, changes.store_responded_at - requested_at)
         rows = {row.key: row for row in changes.rows}
-        return rows, changes.answered_at - self.clock()
+        return rows, changes.store_responded_at - self.clock()
 
-    def _apply_times(self, changes: Changes, offset: float) -> None:
+    def _apply_times(self, changes: RowChanges, offset: float) -> None:
         """Apply published times; ``offset`` is the store's clock minus this clock."""
         for row in changes.rows:
             try:
--- a/packages/wasabideck_base/wasabideck_base/early_listener.py
+++ b/packages/wasabideck_base/wasabideck_base/early_listener.py
@@ -15,9 +15,9 @@
 
 from .addresses import split_address
 
-__all__ = ["BACKLOG", "EarlyListener"]
+__all__ = ["LISTEN_BACKLOG", "EarlyListener"]
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 
 
 class EarlyListener:
@@ -25,7 +25,7 @@
 
     Attributes
     ----------
-    since : float
+    listening_since : float
         Time on the monotonic clock, in seconds, at which the socket began to listen.
     """
 
@@ -37,8 +37,8 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.sock.setblocking(False)
             self.sock.bind((host, port))
-            self.sock.listen(BACKLOG)
+            self.sock.listen(LISTEN_BACKLOG)
         except (OSError, OverflowError):
             self.sock.close()
             raise
-        self.since = time.monotonic()
+        self.listening_since = time.monotonic()
--- a/packages/wasabideck_base/wasabideck_base/engine_datagrams.py
+++ b/packages/wasabideck_base/wasabideck_base/engine_datagrams.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable, Iterable
 
 from google.protobuf.message import DecodeError
-from wasabideck_policy.engine_news import EngineNews
+from wasabideck_policy.engine_report import EngineReport
 from wasabideck_wire import inner_pb2 as pb
 
 from .addresses import split_address
 
-__all__ = ["EngineNewsListener", "EngineNewsSender"]
+__all__ = ["EngineReportListener", "EngineReportSender"]
 
 
-class EngineNewsListener(asyncio.DatagramProtocol):
+class EngineReportListener(asyncio.DatagramProtocol):
     """Receives engine reports from agents; counts and ignores malformed datagrams."""
 
-    def __init__(self, on_report: Callable[[EngineNews], None]):
+    def __init__(self, on_report: Callable[[EngineReport], None]):
         self._on_report = on_report
         self.malformed_count = 0
 
@@ -30,20 +30,20 @@
             self.malformed_count += 1
             return
         self._on_report(
-            EngineNews(
+            EngineReport(
                 address=message.address,
                 version=message.version,
                 serving=message.serving,
                 running=message.running,
                 waiting=message.waiting,
                 ready_in=message.ready_in_ms / 1000,
-                named=message.named,
-                pace=message.pace_percent / 100 or 1.0,
+                newest_version=message.named,
+                slowdown=message.pace_percent / 100 or 1.0,
             )
         )
 
 
-class EngineNewsSender(asyncio.DatagramProtocol):
+class EngineReportSender(asyncio.DatagramProtocol):
     """Sends engine reports to entries."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
         """Store the transport."""
         self._transport = transport
 
-    def send(self, report: EngineNews, addresses: Iterable[str]) -> None:
+    def send(self, report: EngineReport, addresses: Iterable[str]) -> None:
         """Send a report to each address; what cannot be sent is lost."""
         if self._transport is None:
             return
@@ -64,8 +64,8 @@
             running=report.running,
             waiting=report.waiting,
             ready_in_ms=int(report.ready_in * 1000),
-            named=report.named,
-            pace_percent=int(report.pace * 100),
+            named=report.newest_version,
+            pace_percent=int(report.slowdown * 100),
         ).SerializeToString()
         for address in addresses:
             self._transport.sendto(data, split_address(address))
--- a/packages/wasabideck_base/wasabideck_base/vocabulary.py
+++ b/packages/wasabideck_base/wasabideck_base/event_kinds.py
@@ -10,210 +10,220 @@
 
 from attrs import frozen
 
-__all__ = ["CAUSES", "KINDS", "Kind"]
+__all__ = ["CAUSE_FIELDS", "EVENT_KINDS", "EventKind"]
 
-CAUSES = ("ticket", "request", "attempt", "manifest")
+CAUSE_FIELDS = ("ticket", "request", "attempt", "manifest")
 
 
 @frozen
-class Kind:
+class EventKind:
     """Description of one kind of event.
 
     Attributes
     ----------
     meaning : str
         What has happened.
-    todo : str
+    operator_action : str
         What an operator should do about it; empty if nothing is wrong.
     """
 
     meaning: str
-    todo: str = ""
+    operator_action: str = ""
 
 
-KINDS: dict[str, Kind] = {
-    "attempt.final": Kind("an agent finished an attempt with this outcome"),
-    "attempt.orphaned": Kind(
+EVENT_KINDS: dict[str, EventKind] = {
+    "attempt.final": EventKind("an agent finished an attempt with this outcome"),
+    "attempt.orphaned": EventKind(
         "no entry reads an attempt any more, and the attempt was cancelled",
         "nothing for one; many mean that entries crash or are disconnected",
     ),
-    "attempt.resumed": Kind(
+    "attempt.resumed": EventKind(
         "a connection broke or became unresponsive; a new one continues the attempt",
         "nothing for one; many mean a bad link between two VMs",
     ),
-    "attempt.sent": Kind("an entry sent an attempt of a request to a server"),
-    "cancel.failed": Kind(
+    "attempt.sent": EventKind("an entry sent an attempt of a request to a server"),
+    "cancel.failed": EventKind(
         "an agent could not cancel an attempt at its engine",
         "check whether the engine responds; the attempt ends at its deadline",
     ),
-    "claim.taken": Kind("the table's verdict on a call that must not be repeated"),
-    "claim.unrecorded": Kind(
+    "claim.taken": EventKind("the table's verdict on a call that must not be repeated"),
+    "claim.unrecorded": EventKind(
         "a call ran, and its response is not yet recorded in the table",
         "check the table service; until then a repeated call gets unknown",
     ),
-    "claim.unsettled": Kind(
+    "claim.unsettled": EventKind(
         "the end of a claim could not be written yet",
         "check the table service; the write is retried",
     ),
-    "engine.reverted": Kind(
+    "engine.reverted": EventKind(
         "an engine serves an older ticket than it should and is ordered again",
         "find out who else orders this engine, or why it restarted",
     ),
-    "keys.reread": Kind("replaced key files are in use"),
-    "keys.unusable": Kind(
+    "keys.reread": EventKind("replaced key files are in use"),
+    "keys.unusable": EventKind(
         "replaced key files are invalid; the previous ones stay in use",
         "install a certificate, key and authority that match each other",
     ),
-    "loop.failed": Kind(
+    "loop.failed": EventKind(
         "a periodic step of a process failed and will be retried",
         "read why; the same failure on many VMs comes from the platform",
     ),
-    "members.unavailable": Kind(
+    "members.unavailable": EventKind(
         "the membership list cannot be read; the last known one stays in use",
         "check the platform; VMs that start now are not found",
     ),
-    "order.lost": Kind(
+    "order.lost": EventKind(
         "an engine's response to an order was lost; its state is read first",
         "nothing for one; if it continues, the engine is slow or restarts",
     ),
-    "order.refused": Kind(
+    "order.refused": EventKind(
         "an engine refused an order",
         "it has received a newer order: compare its ticket with the ticket list",
     ),
-    "order.sent": Kind("an agent ordered its engine to serve a version"),
-    "retirement.failed": Kind(
+    "order.sent": EventKind("an agent ordered its engine to serve a version"),
+    "retirement.failed": EventKind(
         "an agent could not order its engine to unload expired weights",
         "read why; the agent retries at once; many of one agent: check its engine",
     ),
-    "weights.retired": Kind("an agent ordered its engine to unload expired weights"),
-    "weights.over": Kind("remaining work of an engine on expired weights"),
-    "process.leaving": Kind("a process shuts down gracefully and accepts no new work"),
-    "process.ready": Kind("a process accepts connections"),
-    "process.stopped": Kind("a process has finished all work and terminates"),
-    "reconcile.failed": Kind(
+    "weights.retired": EventKind(
+        "an agent ordered its engine to unload expired weights"
+    ),
+    "weights.over": EventKind("remaining work of an engine on expired weights"),
+    "process.leaving": EventKind(
+        "a process shuts down gracefully and accepts no new work"
+    ),
+    "process.ready": EventKind("a process accepts connections"),
+    "process.stopped": EventKind("a process has finished all work and terminates"),
+    "reconcile.failed": EventKind(
         "an agent could not apply its ticket and will retry",
         "read why: origin, table or engine; no action is needed for the retry",
     ),
-    "request.final": Kind("an entry sent the outcome of a request to its caller"),
-    "request.received": Kind("an entry accepted a request of a caller"),
-    "server.died": Kind(
+    "request.final": EventKind("an entry sent the outcome of a request to its caller"),
+    "request.received": EventKind("an entry accepted a request of a caller"),
+    "server.died": EventKind(
         "a backend server terminated or became unresponsive during a request",
         "check the server; a request that crashes servers is quarantined",
     ),
-    "table.unavailable": Kind(
+    "table.unavailable": EventKind(
         "the table service cannot be read or written",
         "see 'The table service is down' below",
     ),
-    "ticket.accepted": Kind("the ticket of an operator is stored in the table"),
-    "ticket.seen": Kind("a process learned of a newer ticket"),
-    "transfer.begun": Kind("an agent starts to fetch the weights of a ticket"),
-    "transfer.corrupt": Kind(
+    "ticket.accepted": EventKind("the ticket of an operator is stored in the table"),
+    "ticket.seen": EventKind("a process learned of a newer ticket"),
+    "transfer.begun": EventKind("an agent starts to fetch the weights of a ticket"),
+    "transfer.corrupt": EventKind(
         "a chunk failed its digest check; it was dropped and its source is backed off",
         "repeatedly the same source: replace that VM, or check the origin",
     ),
-    "transfer.verified": Kind(
+    "transfer.verified": EventKind(
         "all chunks are stored and verified; bytes received from each source"
     ),
-    "transfer.ended": Kind("a transfer was completed or cancelled"),
-    "version.dated": Kind("a process learned the declaration time of a version"),
-    "version.undated": Kind(
+    "transfer.ended": EventKind("a transfer was completed or cancelled"),
+    "version.dated": EventKind("a process learned the declaration time of a version"),
+    "version.undated": EventKind(
         "a process learned of a version without its declaration time",
         "`version.dated` follows within a second; otherwise check the store",
     ),
-    "dates.published": Kind(
+    "dates.published": EventKind(
         "an entry wrote declaration times of versions to the store"
     ),
-    "dates.unavailable": Kind(
+    "dates.unavailable": EventKind(
         "the declaration time of a version cannot be read or written",
         "check the store; versions older than that one are not served meanwhile",
     ),
-    "version.in-force": Kind("an engine serves the version of its ticket"),
-    "attempt.failed": Kind(
+    "version.in-force": EventKind("an engine serves the version of its ticket"),
+    "attempt.failed": EventKind(
         "a server rejected a request or sent no complete response",
         "nothing for one; many of one server: check that server",
     ),
-    "attempt.replaced": Kind(
+    "attempt.replaced": EventKind(
         "another server started to respond, and the first attempt was cancelled",
         "nothing for one; many of one server: check that server",
     ),
-    "configuration.in-force": Kind("a process uses a newer configuration"),
-    "configuration.unusable": Kind(
+    "configuration.in-force": EventKind("a process uses a newer configuration"),
+    "configuration.unusable": EventKind(
         "a newer configuration is invalid; the previous one stays in use",
         "correct the field in the message and write the configuration again",
     ),
-    "content.unreadable": Kind(
+    "content.unreadable": EventKind(
         "a declaration from a peer is malformed and was ignored",
         "repeatedly the same peer: it is damaged or runs another release",
     ),
-    "declaration.seen": Kind("a process learned of a newer configuration or version"),
-    "manifest.read": Kind(
+    "declaration.seen": EventKind(
+        "a process learned of a newer configuration or version"
+    ),
+    "manifest.read": EventKind(
         "an agent has the digests of a version, from the origin or from peers"
     ),
-    "manifest.unread": Kind(
+    "manifest.unread": EventKind(
         "the origin returned no digests of a version; peers were queried",
         "nothing for a few; many: check the origin and its connection limit",
     ),
-    "metrics.unavailable": Kind(
+    "metrics.unavailable": EventKind(
         "the port for metrics is in use; metrics are not available",
         "find the process that listens on the port",
     ),
-    "peer.silent": Kind(
+    "peer.silent": EventKind(
         "a peer did not respond and will be queried again later",
         "nothing for one; many: check the links of that VM",
     ),
-    "reader.begun": Kind("an entry watches the operators' table for its region"),
-    "reader.ended": Kind("other entries are now the readers of the entry's region"),
-    "replacement.sought": Kind(
+    "reader.begun": EventKind("an entry watches the operators' table for its region"),
+    "reader.ended": EventKind(
+        "other entries are now the readers of the entry's region"
+    ),
+    "replacement.sought": EventKind(
         "another server is sought because the first is unresponsive or shuts down",
         "many with `way_silent`: the link to that data centre is saturated",
     ),
-    "request.ended": Kind("how a request ended, where it was sent, and why"),
-    "row.unreadable": Kind(
+    "request.ended": EventKind("how a request ended, where it was sent, and why"),
+    "row.unreadable": EventKind(
         "a row of another writer is malformed and was ignored",
         "find the process that writes it",
     ),
-    "rows.heard": Kind(
+    "rows.heard": EventKind(
         "a peer reported rows before the store did",
         "check the connection of this process to the store",
     ),
-    "server.gone": Kind("a server was removed from the list"),
-    "server.joined": Kind("a server was added to the list"),
-    "server.leaving": Kind("a server is draining and receives no new requests"),
-    "settings.reloaded": Kind("changed settings are in use"),
-    "settings.unusable": Kind(
+    "server.gone": EventKind("a server was removed from the list"),
+    "server.joined": EventKind("a server was added to the list"),
+    "server.leaving": EventKind("a server is draining and receives no new requests"),
+    "settings.reloaded": EventKind("changed settings are in use"),
+    "settings.unusable": EventKind(
         "changed settings are invalid; the previous ones stay in use",
         "correct the field in the message",
     ),
-    "staging.mended": Kind(
+    "staging.mended": EventKind(
         "staged chunks were corrupt or missing and were staged again",
         "repeatedly the same VM: replace it",
     ),
-    "staging.taken-up": Kind("chunks that were already staged are offered to peers"),
-    "store.back": Kind("the store responds to this process again"),
-    "store.lost": Kind(
+    "staging.taken-up": EventKind(
+        "chunks that were already staged are offered to peers"
+    ),
+    "store.back": EventKind("the store responds to this process again"),
+    "store.lost": EventKind(
         "the store does not respond; the process continues with its known state",
         "check the store and the network path from this VM to it",
     ),
-    "transfer.stalled": Kind(
+    "transfer.stalled": EventKind(
         "no data of the newest version for a second; an older one is fetched",
         "check whether the origin of weights responds",
     ),
-    "transfer.superseded": Kind(
+    "transfer.superseded": EventKind(
         "the transfer of a superseded version was cancelled for the newest"
     ),
-    "version.not-to-be-had": Kind(
+    "version.not-to-be-had": EventKind(
         "a manifest cannot be read; an older version is fetched meanwhile",
         "check whether the origin of weights responds",
     ),
-    "watch.behind": Kind(
+    "watch.behind": EventKind(
         "a peer knows a newer row; the unresponsive call was aborted",
         "nothing for one; many: connections to the store become unresponsive",
     ),
-    "watch.covered": Kind("an entry relies on its region readers for a table"),
-    "watch.history-lost": Kind(
+    "watch.covered": EventKind("an entry relies on its region readers for a table"),
+    "watch.history-lost": EventKind(
         "the store has discarded its history; the whole table is read"
     ),
-    "watch.uncovered": Kind(
+    "watch.uncovered": EventKind(
         "an entry watches a table itself; `age`: seconds since a reader's message",
         "nothing for one; many: check the readers' VMs and their paths to the store",
     ),
--- a/packages/wasabideck_base/wasabideck_base/events.py
+++ b/packages/wasabideck_base/wasabideck_base/events.py
@@ -13,10 +13,17 @@
 from attrs import define, field, frozen
 from wasabideck_policy.outcomes import WasabideckError
 
-__all__ = ["Clock", "EventFile", "Events", "EventsUnwritable", "Stamp", "open_events"]
+__all__ = [
+    "HybridClock",
+    "EventFile",
+    "Events",
+    "EventsUnwritable",
+    "Timestamp",
+    "open_events",
+]
 
 MAX_COUNTER = 1 << 20
-MICROS = 1_000_000
+MICROS_PER_SECOND = 1_000_000
 MAX_DRIFT_SECONDS = 60.0
 TIMESTAMP_PATTERN = re.compile(r"[0-9]{1,17}\.[0-9]{1,7}")
 
@@ -30,7 +37,7 @@
 
 
 @frozen(order=True)
-class Stamp:
+class Timestamp:
     """Timestamp of the hybrid logical clock: microseconds and a counter."""
 
     micros: int
@@ -40,7 +47,7 @@
         return f"{self.micros}.{self.counter}"
 
     @classmethod
-    def parse(cls, text: str) -> Stamp:
+    def parse(cls, text: str) -> Timestamp:
         """Return the timestamp of a text form; raise ``ValueError`` if malformed."""
         if not isinstance(text, str) or not TIMESTAMP_PATTERN.fullmatch(text):
             raise ValueError(f"malformed timestamp: {text!r}")
@@ -49,7 +56,7 @@
 
 
 @define
-class Clock:
+class HybridClock:
     """Hybrid logical clock that never falls behind the timestamps it receives.
 
     A message carries the sender's timestamp and the receiver advances past it, so
@@ -58,38 +65,38 @@
 
     Attributes
     ----------
-    wall : callable
+    wall_clock : callable
         Returns the current wall time in seconds.
     """
 
-    last: Stamp = Stamp(0, 0)
-    wall: Callable[[], float] = time.time
+    last: Timestamp = Timestamp(0, 0)
+    wall_clock: Callable[[], float] = time.time
 
-    def tick(self, now: float) -> Stamp:
+    def tick(self, now: float) -> Timestamp:
         """Return the timestamp of an event at wall time ``now`` (seconds)."""
-        micros = int(now * MICROS)
+        micros = int(now * MICROS_PER_SECOND)
         if micros > self.last.micros:
-            self.last = Stamp(micros, 0)
+            self.last = Timestamp(micros, 0)
         elif self.last.counter < MAX_COUNTER:
-            self.last = Stamp(self.last.micros, self.last.counter + 1)
+            self.last = Timestamp(self.last.micros, self.last.counter + 1)
         else:
-            self.last = Stamp(self.last.micros + 1, 0)
+            self.last = Timestamp(self.last.micros + 1, 0)
         return self.last
 
-    def observe(self, received: Stamp, now: float) -> None:
+    def observe(self, received: Timestamp, now: float) -> None:
         """Advance past a timestamp received with a message.
 
         A timestamp more than ``MAX_DRIFT_SECONDS`` ahead of wall time ``now`` is
         ignored: otherwise a single VM with a wrong clock would permanently move the
         timestamps of the whole fleet into the future.
         """
-        if received.micros <= (now + MAX_DRIFT_SECONDS) * MICROS:
+        if received.micros <= (now + MAX_DRIFT_SECONDS) * MICROS_PER_SECOND:
             self.last = max(self.last, received)
 
-    def hear(self, text: object) -> None:
+    def observe_text(self, text: object) -> None:
         """Observe a timestamp in its text form; ignore malformed text."""
         try:
-            self.observe(Stamp.parse(text), self.wall())
+            self.observe(Timestamp.parse(text), self.wall_clock())
         except ValueError:
             return
 
@@ -100,12 +107,12 @@
 
     Attributes
     ----------
-    lost : int
+    lost_events : int
         Number of events that could not be written.
     """
 
     descriptor: int
-    lost: int = 0
+    lost_events: int = 0
     _line_incomplete: bool = False
 
     def __call__(self, message: dict) -> None:
@@ -117,7 +124,7 @@
             self._line_incomplete = os.write(self.descriptor, data) < len(data)
         except OSError:
             # A full disk must neither crash the process nor prevent its shutdown.
-            self.lost += 1
+            self.lost_events += 1
 
 
 @define
@@ -125,7 +132,7 @@
     """Writes the events of a process and passes them to its listeners."""
 
     vm: str
-    clock: Clock
+    clock: HybridClock
     wall: Callable[[], float]
     listeners: list[Callable[[str, dict], None]] = field(factory=list)
 
@@ -154,4 +161,4 @@
         raise EventsUnwritable(path, exc.strerror) from exc
     file = EventFile(descriptor)
     eliot.add_destinations(file)
-    return Events(vm, Clock(wall=wall), wall), file
+    return Events(vm, HybridClock(wall_clock=wall), wall), file
--- a/packages/wasabideck_base/wasabideck_base/hearsay.py
+++ b/packages/wasabideck_base/wasabideck_base/gossip.py
@@ -11,16 +11,15 @@
 from wasabideck_policy.declarations import CONFIGURATION, Declaration, Declarations
 from wasabideck_policy.membership import AGENT, ENTRY, Member
 from wasabideck_policy.quarantine import Quarantine
-from wasabideck_policy.rendezvous import rank
+from wasabideck_policy.rendezvous import rank_vms
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.crashes import crashes_from, crashes_to
+from wasabideck_wire.crashes import crashes_to_messages, merge_crashes
 from wasabideck_wire.inner_grpc import PeersBase, PeersStub
 
-from .channels import LINK_FAILURES, Channels
+from .channels import CALL_FAILURES, Channels
+from .compression import MalformedContent
 from .events import Events
-from .packing import MalformedContent
-from .table_watch import TablePosition, TableWatch
-from .told import (
+from .gossip_messages import (
     AGE,
     COMPRESSED,
     DECLARED,
@@ -36,8 +35,9 @@
     row_entry,
     rows_of,
 )
+from .table_watch import TablePosition, TableWatch
 
-__all__ = ["Hearsay", "HearsayService"]
+__all__ = ["Gossip", "GossipService"]
 
 SYNC_TIMEOUT_SECONDS = 0.7
 # Timeout for the first reply to a process that has no declarations yet: a complete
@@ -67,7 +67,7 @@
 
 
 @define
-class Hearsay:
+class Gossip:
     """A process's declarations, and their exchange with its peers.
 
     Attributes
@@ -179,8 +179,8 @@
         channel = self.channels.get(address)
         try:
             reply = await PeersStub(channel).Sync(req, timeout=timeout)
-        except LINK_FAILURES as exc:
-            self.channels.drop(address, channel)
+        except CALL_FAILURES as exc:
+            self.channels.close_channel(address, channel)
             self._peer_retry_at[address] = self.clock() + PEER_BACKOFF_SECONDS
             self.events.emit("peer.silent", peer=address, why=type(exc).__name__)
             return None
@@ -208,7 +208,7 @@
         """
         members = [m for m in self.members.values() if m.region == self.me.region]
         entries = {m.vm for m in members if m.kind == ENTRY} | {self.me.vm}
-        if self.me.vm not in rank(self.me.region, entries)[:NOTIFYING_ENTRIES]:
+        if self.me.vm not in rank_vms(self.me.region, entries)[:NOTIFYING_ENTRIES]:
             return
         agents = [m.address for m in members if m.kind == AGENT]
         await self.push(declarations, agents)
@@ -290,11 +290,11 @@
         return complete
 
     def _recent_crashes(self) -> list[pb.Quarantined]:
-        crashes = crashes_to(self.quarantine, self.events.wall())
+        crashes = crashes_to_messages(self.quarantine, self.events.wall())
         return sorted(crashes, key=lambda crash: crash.until)[-MAX_CRASHES_SENT:]
 
     def _merge_crashes(self, crashes: Iterable[pb.Quarantined]) -> None:
-        crashes_from(self.quarantine, crashes, self.events.wall())
+        merge_crashes(self.quarantine, crashes, self.events.wall())
 
     def _sync_request(self, tables: Iterable[str] | None = None) -> pb.SyncRequest:
         numbers = self.declarations.numbers()
@@ -362,21 +362,21 @@
 
 
 @define
-class HearsayService(PeersBase):
+class GossipService(PeersBase):
     """Serves peers that request newer declarations."""
 
-    hearsay: Hearsay
+    gossip: Gossip
 
     async def Sync(self, stream: Stream[pb.SyncRequest, pb.SyncReply]) -> None:
         """Send a peer what it lacks."""
         req = await stream.recv_message()
-        await stream.send_message(self.hearsay.handle_sync(req))
+        await stream.send_message(self.gossip.handle_sync(req))
 
     async def Status(self, stream: Stream) -> None:
         """Reply with the VM name only: agents of this deployment serve no requests."""
-        await stream.send_message(pb.StatusReply(vm=self.hearsay.me.vm))
+        await stream.send_message(pb.StatusReply(vm=self.gossip.me.vm))
 
     async def Watch(self, stream: Stream) -> None:
         """Send the same reply as ``Status``, once."""
         await stream.recv_message()
-        await stream.send_message(pb.StatusReply(vm=self.hearsay.me.vm))
+        await stream.send_message(pb.StatusReply(vm=self.gossip.me.vm))
--- a/packages/wasabideck_base/wasabideck_base/told.py
+++ b/packages/wasabideck_base/wasabideck_base/gossip_messages.py
@@ -9,7 +9,7 @@
 from wasabideck_policy.declarations import Declaration
 from wasabideck_wire import inner_pb2 as pb
 
-from .packing import packed, unpacked
+from .compression import compress, decompress
 from .rows import Row
 from .table_watch import TablePosition
 
@@ -96,7 +96,7 @@
 
 def declaration_entry(declaration: Declaration) -> pb.Entry:
     """Return the entry of a declaration, compressed where that makes it smaller."""
-    compressed = packed(declaration.content)
+    compressed = compress(declaration.content)
     is_smaller = len(compressed) < len(declaration.content)
     return pb.Entry(
         scope=declaration.key,
@@ -115,7 +115,7 @@
         return None
     content = entry.change
     if entry.slot == COMPRESSED:
-        content = unpacked(entry.scope, content)
+        content = decompress(entry.scope, content)
     return Declaration(entry.scope, entry.ticket, content)
 
 
--- a/packages/wasabideck_base/wasabideck_base/http.py
+++ b/packages/wasabideck_base/wasabideck_base/http_client.py
@@ -11,11 +11,11 @@
 import orjson
 from attrs import define, frozen
 
-from .http_answers import (
+from .http_responses import (
     PlatformRefused,
     PlatformUnavailable,
+    parse_response,
     raise_for_failure,
-    understood,
 )
 
 __all__ = ["ChangedResource", "HttpClient"]
@@ -40,8 +40,8 @@
 class HttpClient:
     """Sends requests to one service at one base address."""
 
-    base: str
-    timeout: float
+    base_url: str
+    timeout_seconds: float
     session: aiohttp.ClientSession
 
     async def call(
@@ -67,7 +67,7 @@
         PlatformRefused
             The status is not one of the accepted ones.
         """
-        url = f"{self.base}{path}"
+        url = f"{self.base_url}{path}"
         response, data = await self._send(
             method, path, timeout, data=body, params=params
         )
@@ -88,7 +88,7 @@
         if response.status == 304:
             return None
         if response.status != 200:
-            raise PlatformRefused(f"{self.base}{path}", response.status, data)
+            raise PlatformRefused(f"{self.base_url}{path}", response.status, data)
         size = response.content_length or len(data)
         return ChangedResource(data, response.headers.get("ETag", ""), size)
 
@@ -99,8 +99,8 @@
         timeout: float | None,
         **kw: object,
     ) -> tuple[aiohttp.ClientResponse, bytes]:
-        url = f"{self.base}{path}"
-        client_timeout = aiohttp.ClientTimeout(total=timeout or self.timeout)
+        url = f"{self.base_url}{path}"
+        client_timeout = aiohttp.ClientTimeout(total=timeout or self.timeout_seconds)
         try:
             async with self.session.request(
                 method, url, timeout=client_timeout, **kw
@@ -121,4 +121,4 @@
         _, data = await self.call(method, path, body, **kw)
         if not data:
             return None
-        return understood(f"{self.base}{path}", data, orjson.loads)
+        return parse_response(f"{self.base_url}{path}", data, orjson.loads)
--- a/packages/wasabideck_base/wasabideck_base/http_pool.py
+++ b/packages/wasabideck_base/wasabideck_base/http_pool.py
@@ -14,14 +14,14 @@
 import orjson
 from attrs import define, field
 
-from .http_answers import (
+from .http_connection import HttpConnection, MalformedResponse, ResponseLost
+from .http_responses import (
     PlatformNonsense,
     PlatformRefused,
     PlatformUnavailable,
+    parse_response,
     raise_for_failure,
-    understood,
 )
-from .http_connection import HttpConnection, MalformedResponse, ResponseLost
 
 __all__ = ["HttpPool", "PooledClient"]
 
@@ -86,7 +86,7 @@
         else:
             self.discard(conn)
 
-    def drop_idle(self, address: str) -> None:
+    def discard_idle(self, address: str) -> None:
         """Close the idle connections to an address that may be unresponsive."""
         for conn in list(self._idle.pop(address, [])):
             self.discard(conn)
@@ -173,7 +173,7 @@
         _, data = await self.call(method, path, body, **kw)
         if not data:
             return None
-        return understood(f"{self.base}{path}", data, orjson.loads)
+        return parse_response(f"{self.base}{path}", data, orjson.loads)
 
     def _encode_request(
         self,
--- a/packages/wasabideck_base/wasabideck_base/http_answers.py
+++ b/packages/wasabideck_base/wasabideck_base/http_responses.py
@@ -12,7 +12,7 @@
     "PlatformRefused",
     "PlatformUnavailable",
     "raise_for_failure",
-    "understood",
+    "parse_response",
 ]
 
 T = TypeVar("T")
@@ -52,11 +52,11 @@
     def __init__(self, url: str, status: int, body: bytes):
         super().__init__(f"{url}: status {status}: {body[:200]!r}")
         self.url = url
-        self.answer_status = status
+        self.response_status = status
         self.body = body
 
 
-def understood(url: str, value: object, parse: Callable[[object], T]) -> T:
+def parse_response(url: str, value: object, parse: Callable[[object], T]) -> T:
     """Return ``parse(value)``; raise ``PlatformNonsense`` if the value is malformed."""
     try:
         return parse(value)
--- a/packages/wasabideck_base/wasabideck_base/member_rows.py
+++ b/packages/wasabideck_base/wasabideck_base/member_rows.py
@@ -9,25 +9,25 @@
 
 from .rows import Row, RowWrite
 
-__all__ = ["MEMBERS", "MalformedMember", "member_of", "member_row"]
+__all__ = ["MEMBERS_TABLE", "MalformedMember", "parse_member", "member_row"]
 
-MEMBERS = "wasabideck-members"
+MEMBERS_TABLE = "wasabideck-members"
 
 
 class MalformedMember(WasabideckError):
     """A row of the table of members cannot be parsed as a member."""
 
     def __init__(self, key: str, why: str):
-        super().__init__(f"{MEMBERS}/{key}: {why}")
+        super().__init__(f"{MEMBERS_TABLE}/{key}: {why}")
         self.key = key
 
 
 def member_row(member: Member) -> RowWrite:
     """Return the row that describes a process."""
-    return RowWrite(MEMBERS, member.vm, orjson.dumps(asdict(member)))
+    return RowWrite(MEMBERS_TABLE, member.vm, orjson.dumps(asdict(member)))
 
 
-def member_of(row: Row) -> Member:
+def parse_member(row: Row) -> Member:
     """Return the process that a row describes; raises ``MalformedMember``."""
     try:
         return Member(**orjson.loads(row.value))
--- a/packages/wasabideck_base/wasabideck_base/members.py
+++ b/packages/wasabideck_base/wasabideck_base/members.py
@@ -6,17 +6,17 @@
 from attrs import define, field
 from wasabideck_policy.membership import Member
 
-from .http import HttpClient
-from .http_answers import understood
+from .http_client import HttpClient
+from .http_responses import parse_response
 
-__all__ = ["Members"]
+__all__ = ["MemberListClient"]
 
 MEMBERS_PATH = "/v1/members"
 READ_BYTES_PER_SECOND = 3000.0
 
 
 @define
-class Members:
+class MemberListClient:
     """Reads the list within a bandwidth budget; the list may be many seconds old.
 
     With 1,800 VMs, reading the whole list once a second would cost every process
@@ -52,8 +52,8 @@
             return self._members
         changed = await self.http.get_if_changed(MEMBERS_PATH, self._etag)
         if changed:
-            self._members = understood(
-                f"{self.http.base}{MEMBERS_PATH}", changed.body, _parse_members
+            self._members = parse_response(
+                f"{self.http.base_url}{MEMBERS_PATH}", changed.body, _parse_members
             )
             self._etag = changed.tag
             self._next_read_at = now + changed.wire_bytes / self.bytes_per_second
--- a/packages/wasabideck_base/wasabideck_base/metrics.py
+++ b/packages/wasabideck_base/wasabideck_base/metrics.py
@@ -22,8 +22,8 @@
     requests: Counter = field(init=False)
     retries: Counter = field(init=False)
     transferred: Counter = field(init=False)
-    link: Counter = field(init=False)
-    ticket: Gauge = field(init=False)
+    weight_link_bytes: Counter = field(init=False)
+    ticket_in_force: Gauge = field(init=False)
     in_progress: Gauge = field(init=False)
     claims: Counter = field(init=False)
     table_failures: Counter = field(init=False)
@@ -31,7 +31,7 @@
     events: Counter = field(init=False)
     events_lost: Gauge = field(init=False)
     _newest_ticket: int = 0
-    _tried: dict[str, None] = field(factory=dict)
+    _attempted_requests: dict[str, None] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         """Register every metric."""
@@ -45,10 +45,10 @@
         self.transferred = Counter(
             "wasabideck_transferred_bytes_total", "Weight bytes, by source.", **reg
         )
-        self.link = Counter(
+        self.weight_link_bytes = Counter(
             "wasabideck_weight_link_bytes_total", "Weight bytes, by direction.", **reg
         )
-        self.ticket = Gauge(
+        self.ticket_in_force = Gauge(
             "wasabideck_ticket_in_force", "Newest ticket in force here.", **reg
         )
         self.in_progress = Gauge(
@@ -77,16 +77,16 @@
     def count_attempt(self, fields: Mapping[str, object]) -> None:
         """Count an attempt as a retry unless it is the first of its request."""
         request = str(fields["request"])
-        if request in self._tried:
+        if request in self._attempted_requests:
             self.retries.inc({})
-        self._tried[request] = None
+        self._attempted_requests[request] = None
         # A request whose caller disconnected has no final event.
-        while len(self._tried) > MAX_TRACKED_REQUESTS:
-            del self._tried[next(iter(self._tried))]
+        while len(self._attempted_requests) > MAX_TRACKED_REQUESTS:
+            del self._attempted_requests[next(iter(self._attempted_requests))]
 
     def forget_request(self, fields: Mapping[str, object]) -> None:
         """Remove a finished request from the requests with an attempt."""
-        self._tried.pop(str(fields["request"]), None)
+        self._attempted_requests.pop(str(fields["request"]), None)
 
     def count_transferred_bytes(self, fields: Mapping[str, object]) -> None:
         """Count a transfer's bytes; peers share a label because there are many VMs."""
--- a/packages/wasabideck_base/wasabideck_base/clients.py
+++ b/packages/wasabideck_base/wasabideck_base/platform_clients.py
@@ -5,32 +5,34 @@
 import aiohttp
 from attrs import define
 
-from .http import HttpClient
-from .members import Members
+from .http_client import HttpClient
+from .members import MemberListClient
 from .settings import PlatformSettings
 from .table import Table
-from .weights import Origin
+from .weight_origin import WeightOriginClient
 
-__all__ = ["Platform", "connect_platform"]
+__all__ = ["PlatformClients", "create_platform_clients"]
 
 
 @define
-class Platform:
+class PlatformClients:
     """Clients of the table service, the membership list and the weight origin."""
 
     table: Table
-    members: Members
-    origin: Origin
+    members: MemberListClient
+    origin: WeightOriginClient
 
 
-def connect_platform(cfg: PlatformSettings, session: aiohttp.ClientSession) -> Platform:
+def create_platform_clients(
+    cfg: PlatformSettings, session: aiohttp.ClientSession
+) -> PlatformClients:
     """Return clients for the configured addresses without sending a request."""
 
     def new_client(base: str) -> HttpClient:
         return HttpClient(base, cfg.timeout_seconds, session)
 
-    return Platform(
+    return PlatformClients(
         Table(new_client(cfg.table)),
-        Members(new_client(cfg.members)),
-        Origin(new_client(cfg.weights)),
+        MemberListClient(new_client(cfg.members)),
+        WeightOriginClient(new_client(cfg.weights)),
     )
--- a/packages/wasabideck_base/wasabideck_base/process.py
+++ b/packages/wasabideck_base/wasabideck_base/process.py
@@ -14,17 +14,17 @@
 from wasabideck_policy.outcomes import WasabideckError
 
 from .events import Events
-from .tls import Keys, KeysUnusable
+from .tls import KeysUnusable, TlsContexts
 
 __all__ = [
     "AddressUnusable",
     "announce_ready",
-    "binding",
-    "cancel_all",
-    "every",
-    "first_of",
-    "repeating",
-    "reread_keys",
+    "convert_bind_errors",
+    "cancel_and_wait",
+    "run_periodically",
+    "wait_until_stopped",
+    "periodic_with_events",
+    "key_reload_loops",
     "run_process",
 ]
 
@@ -70,17 +70,17 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, STOP_SIGNALS)
 
 
-def reread_keys(keys: Keys | None, events: Events) -> list[Coroutine]:
+def key_reload_loops(keys: TlsContexts | None, events: Events) -> list[Coroutine]:
     """Return the loop that reloads replaced key files; empty without TLS keys."""
 
     async def step() -> None:
         try:
-            if keys.refresh():
+            if keys.reload_if_changed():
                 events.emit("keys.reread", certificate=keys.files.certificate)
         except KeysUnusable as exc:
             events.emit("keys.unusable", why=str(exc))
 
-    return [every(KEY_RELOAD_INTERVAL_SECONDS, step)] if keys else []
+    return [run_periodically(KEY_RELOAD_INTERVAL_SECONDS, step)] if keys else []
 
 
 class AddressUnusable(WasabideckError):
@@ -92,7 +92,7 @@
 
 
 @contextmanager
-def binding(address: str) -> Iterator[None]:
+def convert_bind_errors(address: str) -> Iterator[None]:
     """Convert an ``OSError`` from listening on an address to ``AddressUnusable``."""
     try:
         yield
@@ -106,16 +106,16 @@
     sys.stdout.flush()
 
 
-def repeating(events: Events) -> Callable[[float, Step], Coroutine]:
-    """Return ``every`` with typed failures of a step reported as events."""
+def periodic_with_events(events: Events) -> Callable[[float, Step], Coroutine]:
+    """Return ``run_periodically`` with typed failures of a step reported as events."""
 
     def failed(exc: WasabideckError) -> None:
         events.emit("loop.failed", why=f"{type(exc).__name__}: {exc}")
 
-    return partial(every, failed=failed)
+    return partial(run_periodically, failed=failed)
 
 
-async def every(
+async def run_periodically(
     seconds: float,
     step: Step,
     failed: Callable[[WasabideckError], None] = lambda exc: None,
@@ -134,7 +134,7 @@
         await asyncio.sleep(seconds)
 
 
-async def first_of(stop: asyncio.Event, tasks: list[asyncio.Task]) -> None:
+async def wait_until_stopped(stop: asyncio.Event, tasks: list[asyncio.Task]) -> None:
     """Wait for the stop event; raise the error of any task that ends before it."""
     stop_wait = asyncio.create_task(stop.wait())
     done, _ = await asyncio.wait(
@@ -145,7 +145,7 @@
         task.result()
 
 
-async def cancel_all(tasks: list[asyncio.Task]) -> None:
+async def cancel_and_wait(tasks: list[asyncio.Task]) -> None:
     """Cancel tasks and wait for them, so that none uses a resource that is closed.
 
     The wait is limited to ``CANCEL_TIMEOUT_SECONDS``: a task that suppresses its
--- a/packages/wasabideck_base/wasabideck_base/region_readers.py
+++ b/packages/wasabideck_base/wasabideck_base/region_readers.py
@@ -9,11 +9,15 @@
 from attrs import define, field
 from wasabideck_policy.declarations import Declaration
 from wasabideck_policy.membership import ENTRY
-from wasabideck_policy.readers import LEAST_ENTRIES, READERS, Readers
-from wasabideck_policy.start_turns import read_delay
+from wasabideck_policy.reader_selection import (
+    MIN_ENTRIES_FOR_SHARING,
+    READERS_PER_REGION,
+    RegionReaderView,
+)
+from wasabideck_policy.startup_stagger import read_delay
 
 from .events import Events
-from .hearsay import Hearsay
+from .gossip import Gossip
 from .table_watch import LONG_POLL_SECONDS, TablePosition, TableWatch
 
 __all__ = ["RegionReaders"]
@@ -50,9 +54,9 @@
         Time after its confirmation within which a change has to be in effect.
     """
 
-    readers: Readers
+    readers: RegionReaderView
     watch: TableWatch
-    hearsay: Hearsay
+    gossip: Gossip
     events: Events
     clock: Callable[[], float]
     rng: random.Random
@@ -94,22 +98,22 @@
 
     def notify_followers(self, declarations: list[Declaration]) -> None:
         """Push declarations to followers as soon as the store sent them here."""
-        members = self.hearsay.members
-        followers = self.readers.told(members.values())
+        members = self.gossip.members
+        followers = self.readers.followers_to_notify(members.values())
         if followers:
             addresses = [members[vm].address for vm in followers]
-            task = asyncio.create_task(self.hearsay.push(declarations, addresses))
+            task = asyncio.create_task(self.gossip.push(declarations, addresses))
             self._pushes.add(task)
             task.add_done_callback(self._pushes.discard)
 
     def _update(self) -> None:
         """Start or stop following the table, depending on the readers' replies."""
         now = self.clock()
-        members = self.hearsay.members.values()
-        is_reader = self.readers.reads(members)
+        members = self.gossip.members.values()
+        is_reader = self.readers.is_reader(members)
         why = self._uncovered_reason(is_reader, now)
         self._emit_changes(is_reader, why, now)
-        self._set_long_poll(self.readers.shares(members))
+        self._set_long_poll(self.readers.is_shared_reader(members))
         if why and self._watch_task is None and not self._defers_first_read(now):
             self._watch_task = asyncio.create_task(self.watch.run())
         elif not why and self._watch_task is not None:
@@ -122,15 +126,15 @@
         if self.watch.version >= 0:
             return False
         elapsed = now - self._started_at
-        members = self.hearsay.members.values()
+        members = self.gossip.members.values()
         if not members:
             return elapsed < MEMBERS_WAIT_SECONDS
         vm, region = self.readers.vm, self.readers.region
         nearby = {m.vm for m in members if m.kind == ENTRY and m.region == region}
-        if len(nearby) < LEAST_ENTRIES:
+        if len(nearby) < MIN_ENTRIES_FOR_SHARING:
             return False
         return elapsed < read_delay(
-            region, vm, nearby, READERS, FIRST_READ_DELAY_SECONDS
+            region, vm, nearby, READERS_PER_REGION, FIRST_READ_DELAY_SECONDS
         )
 
     def _set_long_poll(self, has_followers: bool) -> None:
@@ -154,7 +158,7 @@
         elif self._is_reader and not is_reader:
             self.events.emit("reader.ended", table=table)
         if self._covered and why:
-            age = round(now - self.readers.last_word, 3)
+            age = round(now - self.readers.last_confirmed_at, 3)
             self.events.emit("watch.uncovered", table=table, why=why, age=age)
         elif not self._covered and not why:
             self.events.emit("watch.covered", table=table)
@@ -166,14 +170,16 @@
             return "this entry is a reader"
         if self.watch.version < 0:
             return "not read yet"
-        if not self.readers.covered(now):
+        if not self.readers.has_valid_confirmation(now):
             return "no recent reply from a reader"
         if self.watch.is_lagging(now, MAX_LAG_SECONDS):
             return "a peer knows more"
         return ""
 
     def _poll_next(self) -> None:
-        candidates = self.readers.asked(self.hearsay.members.values(), self.clock())
+        candidates = self.readers.readers_to_query(
+            self.gossip.members.values(), self.clock()
+        )
         idle = [vm for vm in candidates if vm not in self._polls]
         if not idle or self.watch.version < 0:
             return
@@ -191,13 +197,13 @@
 
     async def _poll(self, vm: str) -> None:
         requested_at = self.clock()
-        address = self.hearsay.members[vm].address
-        reply = await self.hearsay.poll_reader(address, self.watch.table)
+        address = self.gossip.members[vm].address
+        reply = await self.gossip.poll_reader(address, self.watch.table)
         if reply is None:
-            self.readers.silent(vm, self.clock())
+            self.readers.record_unresponsive(vm, self.clock())
         elif reply.position is None or not reply.is_complete:
-            self.readers.refuses(vm)
+            self.readers.record_not_following(vm)
         else:
-            self.readers.follows(vm, requested_at)
+            self.readers.record_follows(vm, requested_at)
             if not self._is_reader:
                 self.watch.adopt_position(reply.position, reply.newest, requested_at)
--- a/packages/wasabideck_base/wasabideck_base/rows.py
+++ b/packages/wasabideck_base/wasabideck_base/rows.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 from wasabideck_policy.outcomes import WasabideckError
 
-__all__ = ["Changes", "HistoryLost", "Row", "RowStore", "RowWrite", "WriteConflict"]
+__all__ = ["RowChanges", "HistoryLost", "Row", "RowStore", "RowWrite", "WriteConflict"]
 
 
 class HistoryLost(WasabideckError):
@@ -55,31 +55,31 @@
 
 
 @frozen
-class Changes:
+class RowChanges:
     """Rows, and the store's version that a reader has reached after applying them.
 
     Attributes
     ----------
-    answered_at : float or None
+    store_responded_at : float or None
         Time of the store's response in seconds of the store's own monotonic clock;
         of the last response if several calls were needed. None if not reported.
     """
 
     rows: tuple[Row, ...]
     version: int
-    answered_at: float | None = None
+    store_responded_at: float | None = None
 
 
 class RowStore(Protocol):
     """What the product requires of a store of rows."""
 
-    async def read(self, table: str) -> Changes:
+    async def read(self, table: str) -> RowChanges:
         """Return all rows of a table."""
 
-    async def follow(self, table: str, after: int, wait: float) -> Changes:
+    async def wait_for_changes(self, table: str, after: int, wait: float) -> RowChanges:
         """Wait for and return changes after a version; raises ``HistoryLost``."""
 
-    def received(self, table: str) -> int:
+    def received_bytes(self, table: str) -> int:
         """Return the number of response bytes received so far for a table."""
 
     async def write(
--- a/packages/wasabideck_base/wasabideck_base/servers.py
+++ b/packages/wasabideck_base/wasabideck_base/server_clients.py
@@ -11,13 +11,13 @@
 from wasabideck_policy.orders import Serving
 from wasabideck_policy.outcomes import WasabideckError
 
-from .http import HttpClient
+from .http_client import HttpClient
 
 __all__ = [
-    "Engine",
-    "Generation",
-    "Loaded",
-    "PlainService",
+    "ModelEngineClient",
+    "GenerationRequest",
+    "ServedState",
+    "PlainServiceClient",
     "ServerDied",
     "ServerFailed",
     "ServerRefused",
@@ -63,11 +63,11 @@
 
 
 # What an engine reports that it serves.
-Loaded = Serving
+ServedState = Serving
 
 
 @frozen
-class Generation:
+class GenerationRequest:
     """Request to generate a response, or to resume one.
 
     Attributes
@@ -88,24 +88,26 @@
 
 
 @define
-class Engine:
+class ModelEngineClient:
     """Client of a model engine, which receives weights over loopback."""
 
     http: HttpClient
 
-    async def loaded(self) -> Loaded:
+    async def read_state(self) -> ServedState:
         """Return what the engine serves now."""
-        return Loaded(**await self.http.json("GET", "/v1/loaded"))
+        return ServedState(**await self.http.json("GET", "/v1/loaded"))
 
-    async def staged(self, manifest: str) -> set[int]:
+    async def staged_chunks(self, manifest: str) -> set[int]:
         """Return the indices of a manifest's chunks that are staged at the engine."""
         return set(await self.http.json("GET", f"/v1/weights/{manifest}"))
 
-    async def stage(self, manifest: str, index: int, data: bytes) -> None:
+    async def stage_chunk(self, manifest: str, index: int, data: bytes) -> None:
         """Stage one chunk at the engine."""
         await self.http.call("PUT", f"/v1/weights/{manifest}/{index}", data)
 
-    async def order(self, desired: Loaded, chunks: Mapping[str, int]) -> Loaded:
+    async def order(
+        self, desired: ServedState, chunks: Mapping[str, int]
+    ) -> ServedState:
         """Order the engine to serve ``desired``; return what it serves afterwards.
 
         ``chunks`` maps each manifest to its total number of chunks.
@@ -114,13 +116,13 @@
         response = await self.http.json(
             "POST", "/v1/orders", body, timeout=ORDER_TIMEOUT_SECONDS
         )
-        return Loaded(**response)
+        return ServedState(**response)
 
-    async def load(self) -> dict:
+    async def read_load(self) -> dict:
         """Return the engine's load report, which lags behind its actual load."""
         return await self.http.json("GET", "/v1/load")
 
-    async def cache_events(self, after: int) -> list[tuple[int, str, bool]]:
+    async def read_cache_events(self, after: int) -> list[tuple[int, str, bool]]:
         """Return cache events after a sequence number; some may be lost or delayed."""
         rows = await self.http.json("GET", f"/v1/cache?after={after}")
         return [(number, name, stored) for number, name, stored in rows]
@@ -129,7 +131,7 @@
         """Cancel the generation of an attempt."""
         await self.http.call("POST", f"/v1/cancel/{attempt}", accept=(200, 404))
 
-    async def generate(self, job: Generation) -> AsyncIterator[dict]:
+    async def generate(self, job: GenerationRequest) -> AsyncIterator[dict]:
         """Yield the lines of a streamed response; the last one contains ``done``.
 
         Raises
@@ -141,7 +143,7 @@
         ServerSilent
             The last line did not arrive in time.
         """
-        url = f"{self.http.base}/v1/generate/{job.route}"
+        url = f"{self.http.base_url}/v1/generate/{job.route}"
         headers = {"x-attempt": job.attempt, "x-priority": str(job.priority)}
         if job.resume_from:
             headers["x-resume-from"] = str(job.resume_from)
@@ -159,7 +161,7 @@
 
 
 @define
-class PlainService:
+class PlainServiceClient:
     """Client of a plain HTTP service; some of its calls must not be repeated."""
 
     http: HttpClient
@@ -176,7 +178,7 @@
         ServerDied, ServerFailed, ServerSilent
             The call has no valid response and may have run.
         """
-        url = f"{self.http.base}/v1/calls/{route}"
+        url = f"{self.http.base_url}/v1/calls/{route}"
         headers = {"x-attempt": attempt, "idempotency-key": key}
         async with _post(self.http.session, url, body, headers, timeout) as response:
             data = bytearray()
--- a/packages/wasabideck_base/wasabideck_base/settings.py
+++ b/packages/wasabideck_base/wasabideck_base/settings.py
@@ -9,7 +9,7 @@
 from attrs import field, frozen
 from attrs.validators import deep_mapping, instance_of
 
-from .settings_values import (
+from .settings_validators import (
     at_least,
     choice,
     is_address,
@@ -23,8 +23,8 @@
 from .weights_settings import WeightsSettings
 
 __all__ = [
-    "MODEL",
-    "PLAIN",
+    "MODEL_KIND",
+    "PLAIN_KIND",
     "AccessSettings",
     "AgentSettings",
     "CallerSettings",
@@ -38,9 +38,9 @@
     "WeightsSettings",
 ]
 
-MODEL = "model"
-PLAIN = "plain"
-SERVICE_KINDS = (MODEL, PLAIN)
+MODEL_KIND = "model"
+PLAIN_KIND = "plain"
+SERVICE_KINDS = (MODEL_KIND, PLAIN_KIND)
 
 
 @frozen
@@ -141,7 +141,7 @@
     """
 
     name: str = field(validator=is_name)
-    kind: str = field(default=MODEL, validator=choice(SERVICE_KINDS))
+    kind: str = field(default=MODEL_KIND, validator=choice(SERVICE_KINDS))
     repeatable: bool = True
     repeatable_routes: list[str] = field(factory=list, validator=is_names)
     priority: int = field(default=1, validator=at_least(0))
@@ -166,7 +166,7 @@
 
     service: str = field(validator=is_name)
     url: str = field(validator=is_url)
-    kind: str = field(default=MODEL, validator=choice(SERVICE_KINDS))
+    kind: str = field(default=MODEL_KIND, validator=choice(SERVICE_KINDS))
     capacity: int = field(default=8, validator=at_least(1))
     checks_fencing: bool = False
     reports_load: bool = True
--- a/packages/wasabideck_base/wasabideck_base/settings_checks.py
+++ b/packages/wasabideck_base/wasabideck_base/settings_checks.py
@@ -9,7 +9,7 @@
 
 from .addresses import split_address
 from .settings import (
-    PLAIN,
+    PLAIN_KIND,
     AccessSettings,
     AgentSettings,
     EntrySettings,
@@ -17,41 +17,51 @@
     ServiceSettings,
 )
 
-__all__ = ["CHECKS", "Wrong"]
+__all__ = ["COMBINATION_CHECKS", "InvalidCombination"]
 
 Path = tuple[str | int, ...]
 
 
 @frozen
-class Wrong:
+class InvalidCombination:
     """Invalid combination of settings, and the path of the key to change."""
 
     path: Path
     why: str
 
 
-def _check_tls(cfg: EntrySettings | AgentSettings) -> Wrong | None:
+def _check_tls(cfg: EntrySettings | AgentSettings) -> InvalidCombination | None:
     # A missing [tls] section must not open the fleet to everyone who can reach a port.
     if cfg.tls is None and not cfg.plain_text:
-        return Wrong(("tls",), "TLS keys are required unless plain_text = true")
+        return InvalidCombination(
+            ("tls",), "TLS keys are required unless plain_text = true"
+        )
     if cfg.tls is not None and cfg.plain_text:
-        return Wrong(("plain_text",), "must be false if there is a tls section")
+        return InvalidCombination(
+            ("plain_text",), "must be false if there is a tls section"
+        )
     return None
 
 
-def _check_addresses_differ(cfg: EntrySettings | AgentSettings) -> Wrong | None:
+def _check_addresses_differ(
+    cfg: EntrySettings | AgentSettings,
+) -> InvalidCombination | None:
     process = cfg.process
     inner_port = split_address(process.inner)[1]
     if inner_port and process.inner == process.http:
-        return Wrong(("process", "http"), "must differ from the inner address")
+        return InvalidCombination(
+            ("process", "http"), "must differ from the inner address"
+        )
     return None
 
 
-def _check_has_service(cfg: EntrySettings) -> Wrong | None:
-    return None if cfg.services else Wrong(("services",), "must not be empty")
+def _check_has_service(cfg: EntrySettings) -> InvalidCombination | None:
+    return (
+        None if cfg.services else InvalidCombination(("services",), "must not be empty")
+    )
 
 
-def _check_unique(cfg: EntrySettings) -> Wrong | None:
+def _check_unique(cfg: EntrySettings) -> InvalidCombination | None:
     credentials = [
         (("operators", i, "token"), o) for i, o in _enumerated(cfg.operators)
     ]
@@ -62,52 +72,62 @@
         [(path, holder.token) for path, holder in credentials],
     )
     problems = (_first_duplicate(values) for values in names)
-    return next((Wrong(path, "must be unique") for path in problems if path), None)
+    return next(
+        (InvalidCombination(path, "must be unique") for path in problems if path), None
+    )
 
 
-def _check_services(cfg: EntrySettings) -> Wrong | None:
+def _check_services(cfg: EntrySettings) -> InvalidCombination | None:
     problems = (
         _check_service(("services", i), s) for i, s in _enumerated(cfg.services)
     )
     return next((wrong for wrong in problems if wrong), None)
 
 
-def _check_service(path: Path, service: ServiceSettings) -> Wrong | None:
+def _check_service(path: Path, service: ServiceSettings) -> InvalidCombination | None:
     if service.repeatable and service.repeatable_routes:
         why = "must be empty because the whole service is repeatable"
-        return Wrong((*path, "repeatable_routes"), why)
+        return InvalidCombination((*path, "repeatable_routes"), why)
     if not service.routes:
         return None
     for name in ("repeatable_routes", "priorities"):
         if unknown := set(getattr(service, name)) - set(service.routes):
-            return Wrong((*path, name), f"{min(unknown)} is not one of the routes")
+            return InvalidCombination(
+                (*path, name), f"{min(unknown)} is not one of the routes"
+            )
     return None
 
 
-def _check_server_is_not_agent(cfg: AgentSettings) -> Wrong | None:
+def _check_server_is_not_agent(cfg: AgentSettings) -> InvalidCombination | None:
     """Check that the server is not the agent, which would call itself forever."""
     parts = urlsplit(cfg.server.url)
     if f"{parts.hostname}:{parts.port}" in _listen_addresses(cfg.process):
-        return Wrong(("server", "url"), "must differ from the agent's own addresses")
+        return InvalidCombination(
+            ("server", "url"), "must differ from the agent's own addresses"
+        )
     return None
 
 
-def _check_fencing_kind(cfg: AgentSettings) -> Wrong | None:
+def _check_fencing_kind(cfg: AgentSettings) -> InvalidCombination | None:
     server = cfg.server
-    if server.kind == PLAIN and server.checks_fencing:
+    if server.kind == PLAIN_KIND and server.checks_fencing:
         why = "must be false because only model engines receive orders"
-        return Wrong(("server", "checks_fencing"), why)
+        return InvalidCombination(("server", "checks_fencing"), why)
     return None
 
 
-def _check_access(cfg: AccessSettings) -> Wrong | None:
+def _check_access(cfg: AccessSettings) -> InvalidCombination | None:
     secure = cfg.entry.startswith("https://")
     if not secure and not cfg.plain_text:
-        return Wrong(("entry",), "must be https://, or plain_text = true")
+        return InvalidCombination(("entry",), "must be https://, or plain_text = true")
     if secure and cfg.plain_text:
-        return Wrong(("plain_text",), "must be false if the entry uses https")
+        return InvalidCombination(
+            ("plain_text",), "must be false if the entry uses https"
+        )
     if not secure and cfg.authority:
-        return Wrong(("authority",), "must be empty if the entry does not use https")
+        return InvalidCombination(
+            ("authority",), "must be empty if the entry does not use https"
+        )
     return None
 
 
@@ -128,7 +148,7 @@
     return None
 
 
-CHECKS: dict[type, tuple[Callable[..., Wrong | None], ...]] = {
+COMBINATION_CHECKS: dict[type, tuple[Callable[..., InvalidCombination | None], ...]] = {
     EntrySettings: (
         _check_tls,
         _check_addresses_differ,
--- a/packages/wasabideck_base/wasabideck_base/settings_file.py
+++ b/packages/wasabideck_base/wasabideck_base/settings_file.py
@@ -15,8 +15,8 @@
 from cattrs.gen import make_dict_structure_fn
 from wasabideck_policy.outcomes import WasabideckError
 
-from .settings_checks import CHECKS, Wrong
-from .settings_values import WrongValue
+from .settings_checks import COMBINATION_CHECKS, InvalidCombination
+from .settings_validators import InvalidValue
 
 __all__ = ["SettingsError", "load_settings"]
 
@@ -46,7 +46,7 @@
 def load_settings(
     path: str | Path,
     cls: type[T],
-    checks: tuple[Callable[[T], Wrong | None], ...] = (),
+    checks: tuple[Callable[[T], InvalidCombination | None], ...] = (),
 ) -> T:
     """Return settings of class ``cls`` from a TOML file.
 
@@ -58,7 +58,7 @@
     file = str(path)
     table = _read(file)
     settings = _structure(table, cls, file)
-    for check in (*CHECKS.get(cls, ()), *checks):
+    for check in (*COMBINATION_CHECKS.get(cls, ()), *checks):
         if invalid := check(settings):
             value = _redact(_value_at(table, list(invalid.path)), invalid.path)
             raise SettingsError(file, _dotted_path(invalid.path), value, invalid.why)
@@ -154,7 +154,7 @@
         return SettingsError(file, _dotted_path(path), REDACTED, "unknown key")
     if isinstance(exc, KeyError):
         why = "missing key"
-    elif isinstance(exc, WrongValue):
+    elif isinstance(exc, InvalidValue):
         path.append(exc.attribute)
     elif match := re.match(r"'(\w+)' ", why):
         # The validators of attrs contain the attribute's name only in their message.
--- a/packages/wasabideck_base/wasabideck_base/settings_values.py
+++ b/packages/wasabideck_base/wasabideck_base/settings_validators.py
@@ -1,4 +1,4 @@
-"""Validators of single settings; each raises ``WrongValue``."""
+"""Validators of single settings; each raises ``InvalidValue``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import attrs
 
 __all__ = [
-    "WrongValue",
+    "InvalidValue",
     "is_address",
     "at_least",
     "choice",
@@ -31,7 +31,7 @@
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
 
 
-class WrongValue(ValueError):
+class InvalidValue(ValueError):
     """The value of an attribute is invalid."""
 
     def __init__(self, attribute: str, why: str):
@@ -43,7 +43,7 @@
     """Require a name, which may be part of row keys, paths and metrics."""
     if not NAME_PATTERN.fullmatch(value):
         why = "must be 1 to 100 letters, digits, '.', '_' or '-'"
-        raise WrongValue(attribute.name, why)
+        raise InvalidValue(attribute.name, why)
 
 
 def is_names(instance: object, attribute: attrs.Attribute, value: list[str]) -> None:
@@ -51,29 +51,29 @@
     for name in value:
         is_name(instance, attribute, name)
     if len(set(value)) < len(value):
-        raise WrongValue(attribute.name, "must not contain a name twice")
+        raise InvalidValue(attribute.name, "must not contain a name twice")
 
 
 def is_present(instance: object, attribute: attrs.Attribute, value: str) -> None:
     """Require a non-empty string."""
     if not value:
-        raise WrongValue(attribute.name, "must not be empty")
+        raise InvalidValue(attribute.name, "must not be empty")
 
 
 def is_secret(instance: object, attribute: attrs.Attribute, value: str) -> None:
     """Require a token that is valid in an HTTP header."""
     if len(value) < MIN_SECRET_LENGTH or not value.isascii() or not value.isprintable():
         why = f"must be {MIN_SECRET_LENGTH} or more printable ASCII characters"
-        raise WrongValue(attribute.name, why)
+        raise InvalidValue(attribute.name, why)
     if " " in value:
-        raise WrongValue(attribute.name, "must not contain a space")
+        raise InvalidValue(attribute.name, "must not contain a space")
 
 
 def is_address(instance: object, attribute: attrs.Attribute, value: str) -> None:
     """Require an address of the form ``HOST:PORT``."""
     host, _, port = value.rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
-        raise WrongValue(attribute.name, "must be HOST:PORT")
+        raise InvalidValue(attribute.name, "must be HOST:PORT")
 
 
 def is_url(instance: object, attribute: attrs.Attribute, value: str) -> None:
@@ -84,13 +84,13 @@
     except ValueError:
         known = False
     if not known or parts.username or parts.query or parts.fragment:
-        raise WrongValue(attribute.name, "must be http://HOST:PORT or https://...")
+        raise InvalidValue(attribute.name, "must be http://HOST:PORT or https://...")
 
 
 def is_seconds(instance: object, attribute: attrs.Attribute, value: float) -> None:
     """Require a duration greater than 0 and at most a day."""
     if math.isnan(value) or not 0 < value <= MAX_SECONDS:
-        raise WrongValue(
+        raise InvalidValue(
             attribute.name, f"must be over 0 and at most {MAX_SECONDS:.0f}"
         )
 
@@ -100,7 +100,7 @@
 
     def check(instance: object, attribute: attrs.Attribute, value: float) -> None:
         if not minimum <= value <= MAX_NUMBER:
-            raise WrongValue(attribute.name, f"must be {minimum} or more")
+            raise InvalidValue(attribute.name, f"must be {minimum} or more")
 
     return check
 
@@ -110,6 +110,6 @@
 
     def check(instance: object, attribute: attrs.Attribute, value: str) -> None:
         if value not in known:
-            raise WrongValue(attribute.name, f"must be one of {', '.join(known)}")
+            raise InvalidValue(attribute.name, f"must be one of {', '.join(known)}")
 
     return check
