--- a/packages/wasabideck_base/wasabideck_base/believer.py
+++ b/packages/wasabideck_base/wasabideck_base/state_sync.py
@@ -8,38 +8,41 @@
 from collections.abc import Callable, Coroutine
 
 from attrs import define, field
-from wasabideck_policy.beliefs import Beliefs
+from wasabideck_policy.cluster_state import ClusterState
 from wasabideck_policy.declarations import (
     CONFIGURATION,
     Declaration,
+    model_of_key,
     weights_key,
-    weights_model,
 )
 from wasabideck_policy.membership import AGENT, ENTRY, Member
 from wasabideck_policy.outcomes import WasabideckError
-from wasabideck_policy.readers import COVERED_SECONDS, Readers
-from wasabideck_policy.rendezvous import rank
-from wasabideck_policy.start_turns import read_delay
+from wasabideck_policy.reader_selection import (
+    CONFIRMATION_VALID_SECONDS,
+    RegionReaderView,
+)
+from wasabideck_policy.rendezvous import rank_vms
+from wasabideck_policy.startup_stagger import read_delay
 
 from .channels import Channels
-from .deployment import Deployment
+from .declaration_times import DeclarationTimes
+from .deployment import DeploymentAdapter
 from .events import Events
-from .hearsay import (
+from .gossip import (
     FAST_GOSSIP_INTERVAL_SECONDS,
     GOSSIP_INTERVAL_SECONDS,
     RECENT_LOCAL_REPLY_SECONDS,
-    Hearsay,
+    Gossip,
 )
-from .http_answers import PlatformRefused, PlatformUnavailable
-from .member_rows import MEMBERS, MalformedMember, member_of, member_row
-from .node import NodeSettings
+from .gossip_messages import DeclarationAges
+from .http_responses import PlatformRefused, PlatformUnavailable
+from .member_rows import MEMBERS_TABLE, MalformedMember, member_row, parse_member
 from .region_readers import RegionReaders
 from .rows import Row, RowStore
 from .table_watch import MAX_BACKDATING_SECONDS, STALLED_CALL_SECONDS, TableWatch
-from .told import DeclarationAges
-from .version_dates import DeclarationTimes
+from .vm_settings import VMSettings
 
-__all__ = ["Believer", "members_interval"]
+__all__ = ["StateSync", "members_interval"]
 
 # Delay before the second read of the members table, and minimum interval between later
 # reads. Other processes may start at the same time as this one; processes that start
@@ -81,7 +84,7 @@
 
 
 @define
-class Believer:
+class StateSync:
     """Keeps one process's cluster state up to date.
 
     Attributes
@@ -90,17 +93,17 @@
         Called with each newer declared version of a model's weights.
     """
 
-    cfg: NodeSettings
+    cfg: VMSettings
     me: Member
-    deployment: Deployment
+    deployment: DeploymentAdapter
     store: RowStore
     channels: Channels
     events: Events
     clock: Callable[[], float]
     rng: random.Random
     on_version: Callable[[str, int], None] = lambda model, number: None
-    beliefs: Beliefs = field(init=False)
-    hearsay: Hearsay = field(init=False)
+    cluster_state: ClusterState = field(init=False)
+    gossip: Gossip = field(init=False)
     operator_watch: TableWatch = field(init=False)
     server_watch: TableWatch = field(init=False)
     readers: RegionReaders = field(init=False)
@@ -112,19 +115,19 @@
 
     def __attrs_post_init__(self) -> None:
         """Create the table watches and the components that use them."""
-        self.beliefs = Beliefs(self.clock())
-        drain = self.cfg.bounds.drain
+        self.cluster_state = ClusterState(self.clock())
+        drain = self.cfg.limits.drain_seconds
         settle_seconds = SETTLE_FRACTION * drain
-        self.beliefs.backends.mass_seconds = max(
+        self.cluster_state.backends.mass_removal_hold_seconds = max(
             0.0, drain - settle_seconds - LEAVE_NOTICE_SECONDS
         )
         self.operator_watch = self._watch(
-            self.deployment.operators,
+            self.deployment.declarations_table,
             self._apply_operator_rows,
             self._note_operators_read,
         )
         self.server_watch = self._watch(
-            self.deployment.servers,
+            self.deployment.servers_table,
             self._apply_server_rows,
             self._apply_full_server_list,
         )
@@ -133,7 +136,7 @@
         # configuration has some 40 KB, and would cross a region's slow link once for
         # each agent.
         watches = (self.operator_watch, self.server_watch) if self._is_entry else ()
-        self.hearsay = Hearsay(
+        self.gossip = Gossip(
             self.me,
             self.channels,
             self.events,
@@ -154,13 +157,13 @@
             ),
         )
         self.readers = RegionReaders(
-            Readers(self.me.vm, self.me.region),
+            RegionReaderView(self.me.vm, self.me.region),
             self.operator_watch,
-            self.hearsay,
+            self.gossip,
             self.events,
             self.clock,
             self.rng,
-            self.cfg.bounds.configuration,
+            self.cfg.limits.configuration_deadline_seconds,
         )
         self.declaration_times = DeclarationTimes(
             self.store,
@@ -174,8 +177,8 @@
             self.events,
             self.rng,
         )
-        self.hearsay.position = self.readers.position
-        self.hearsay.region_may_lag = self._region_may_lag
+        self.gossip.position = self.readers.position
+        self.gossip.region_may_lag = self._region_may_lag
 
     @property
     def _is_entry(self) -> bool:
@@ -196,21 +199,21 @@
     async def read_members(self) -> bool:
         """Read the members table, log unreadable rows; return whether it was read."""
         try:
-            changes = await self.store.read(MEMBERS)
+            changes = await self.store.read(MEMBERS_TABLE)
         except (PlatformUnavailable, PlatformRefused) as exc:
             self.events.emit("members.unavailable", why=str(exc))
             return False
         for row in changes.rows:
             try:
-                member = member_of(row)
+                member = parse_member(row)
             except MalformedMember as exc:
                 self.events.emit("row.unreadable", why=str(exc))
                 continue
-            self.hearsay.members[member.vm] = member
-        entries = [m for m in self.hearsay.members.values() if m.kind == ENTRY]
+            self.gossip.members[member.vm] = member
+        entries = [m for m in self.gossip.members.values() if m.kind == ENTRY]
         nearby = sum(m.data_centre == self.me.data_centre for m in entries)
-        self.beliefs.entries = max(1, len(entries))
-        self.beliefs.near_entries = max(1, nearby)
+        self.cluster_state.entries = max(1, len(entries))
+        self.cluster_state.local_entries = max(1, nearby)
         return True
 
     def _watch(
@@ -222,12 +225,12 @@
             on_rows,
             on_full_read,
             self._note_store_recovery
-            if table == self.deployment.servers
+            if table == self.deployment.servers_table
             else lambda seconds: None,
             self.clock,
             self.events,
             self.rng,
-            prefers_full_read=table == self.deployment.operators,
+            prefers_full_read=table == self.deployment.declarations_table,
         )
 
     # Declarations of the operators
@@ -236,7 +239,7 @@
         declarations, newer = [], []
         for row in rows:
             try:
-                declaration = self.deployment.declaration_of(row)
+                declaration = self.deployment.parse_declaration(row)
             except WasabideckError as exc:
                 self.events.emit("row.unreadable", why=str(exc))
                 continue
@@ -244,7 +247,7 @@
                 declarations.append(declaration)
                 if row.version > self.operator_watch.adopted_version:
                     newer.append(declaration)
-        newer += self.hearsay.merge(declarations, STORE)
+        newer += self.gossip.merge(declarations, STORE)
         if self._store_rows_are_new:
             # Rows up to the adopted version are excluded: they are older than this
             # answer.
@@ -263,9 +266,7 @@
                 self._record_declaration_time(
                     declaration.key, declaration.number, since
                 )
-                self.declaration_times.request_publishing(
-                    weights_model(declaration.key)
-                )
+                self.declaration_times.request_publishing(model_of_key(declaration.key))
                 self.declaration_times.request_lookup()
 
     def _note_operators_read(self, rows: list[Row]) -> None:
@@ -283,27 +284,27 @@
             self.readers.notify_followers(newer)
         weights = [d for d in newer if d.key != CONFIGURATION]
         if weights and source == STORE and self._is_entry:
-            task = asyncio.create_task(self.hearsay.notify_agents(weights))
+            task = asyncio.create_task(self.gossip.notify_agents(weights))
             self._notifications.add(task)
             task.add_done_callback(self._notifications.discard)
 
     def _apply_configuration(self, declaration: Declaration) -> None:
         try:
-            cfg = self.deployment.read_configuration(declaration.content)
+            cfg = self.deployment.parse_configuration(declaration.content)
         except WasabideckError as exc:
             # The previous configuration stays in effect: a partial one would be worse.
             self.events.emit(
                 "configuration.unusable", number=declaration.number, why=str(exc)
             )
             return
-        self.beliefs.configuration = cfg
+        self.cluster_state.configuration = cfg
         self.events.emit("configuration.in-force", number=cfg.number)
 
     def _declare_version(self, declaration: Declaration, source: str) -> None:
-        model = weights_model(declaration.key)
+        model = model_of_key(declaration.key)
         now = self.clock()
         since, certain = self._declaration_time(declaration, source, now)
-        if not self.beliefs.name_version(
+        if not self.cluster_state.declare_version(
             model, declaration.number, since, certain, now
         ):
             return
@@ -327,35 +328,43 @@
             # after another change or while the answer was in transit: see
             # ``_bound_ages``.
             return now, True
-        return now - self.cfg.bounds.version, False
+        return now - self.cfg.limits.version_deadline_seconds, False
 
     def _models_with_unknown_time(self) -> list[str]:
-        return self.beliefs.undated_models(self.cfg.bounds.version, self.clock())
+        return self.cluster_state.models_without_declaration_time(
+            self.cfg.limits.version_deadline_seconds, self.clock()
+        )
 
     def _publishing_rank(self) -> int:
         """Return this entry's rank among the publishing entries of its region."""
-        members = self.hearsay.members.values()
+        members = self.gossip.members.values()
         nearby = (m for m in members if m.region == self.me.region)
         entries = {m.vm for m in nearby if m.kind == ENTRY}
-        return rank(self.me.region, entries | {self.me.vm}).index(self.me.vm)
+        return rank_vms(self.me.region, entries | {self.me.vm}).index(self.me.vm)
 
     def _ages_of(self, key: str) -> dict[int, float]:
         if key == CONFIGURATION:
             return {}
-        within, now = self.cfg.bounds.version, self.clock()
-        return self.beliefs.version_ages(weights_model(key), within, now)
+        within, now = self.cfg.limits.version_deadline_seconds, self.clock()
+        return self.cluster_state.version_ages(model_of_key(key), within, now)
 
     def _unexpired_ages(self, key: str) -> dict[int, float]:
         # Report all ages or none: a peer that receives only the newest version's age
         # would assume that no older version still matters.
         ages = self._ages_of(key)
         youngest = min(ages.values(), default=float("inf"))
-        return ages if youngest < self.cfg.bounds.version else {}
+        return ages if youngest < self.cfg.limits.version_deadline_seconds else {}
 
     def _is_uncertain(self, key: str) -> bool:
         # After the stable time the estimate no longer matters, whoever was polled.
-        recently_started = self.clock() - self.beliefs.began < self.cfg.bounds.stable
-        time_unknown = key != CONFIGURATION and self.beliefs.undated(weights_model(key))
+        recently_started = (
+            self.clock() - self.cluster_state.started_at
+            < self.cfg.limits.disturbance_hold_seconds
+        )
+        time_unknown = (
+            key != CONFIGURATION
+            and self.cluster_state.declaration_time_unknown(model_of_key(key))
+        )
         return recently_started and time_unknown
 
     def _record_reported_age(self, key: str, number: int, age: float) -> None:
@@ -371,13 +380,13 @@
             return
         now = self.clock()
         since = self.operator_watch.missing_since(now)
-        if now - since <= MAX_BACKDATING_SECONDS + COVERED_SECONDS:
+        if now - since <= MAX_BACKDATING_SECONDS + CONFIRMATION_VALID_SECONDS:
             self._record_declaration_time(key, number, since)
 
     def _record_declaration_time(self, key: str, number: int, since: float) -> None:
-        model = weights_model(key)
-        newest = self.beliefs.newest_version(model)
-        if not self.beliefs.date_version(model, number, since):
+        model = model_of_key(key)
+        newest = self.cluster_state.newest_version(model)
+        if not self.cluster_state.record_declaration_time(model, number, since):
             return
         age = round(self.clock() - since, 3)
         self.events.emit("version.dated", version=number, age=age)
@@ -388,13 +397,13 @@
     # Rows of the servers table
 
     def _apply_server_rows(self, rows: list[Row]) -> None:
-        backends = self.beliefs.backends
+        backends = self.cluster_state.backends
         for row in rows:
             if row.removed:
                 self.events.emit("server.gone", server=row.key, version=row.version)
                 continue
             try:
-                listed = self.deployment.listed_of(row)
+                listed = self.deployment.parse_listed_server(row)
             except WasabideckError as exc:
                 self.events.emit("row.unreadable", why=str(exc))
                 continue
@@ -404,7 +413,7 @@
                 self.events.emit("server.leaving", **fields, version=row.version)
             elif known is None:
                 self.events.emit("server.joined", **fields, version=row.version)
-            backends.take(listed)
+            backends.update(listed)
         # Removals are applied last, all at once, and by the last row of each key: one
         # answer may contain a change of a row and then its removal, and the older row
         # would add the server again.
@@ -417,9 +426,9 @@
         return min(self.clock(), self.server_watch.written_since)
 
     def _apply_full_server_list(self, rows: list[Row]) -> None:
-        self.beliefs.listed = True
+        self.cluster_state.servers_known = True
         listed = {row.key for row in rows}
-        removed = self.beliefs.backends.keep_only(
+        removed = self.cluster_state.backends.remove_unlisted(
             listed, self.clock(), self._earliest_removal()
         )
         for server in removed:
@@ -428,7 +437,7 @@
     def _note_store_recovery(self, outage_seconds: float) -> None:
         # A broken connection is not an outage: no lease expires in so short a time.
         if outage_seconds >= MIN_OUTAGE_SECONDS:
-            self.beliefs.backends.outage_ended = self.clock()
+            self.cluster_state.backends.outage_ended_at = self.clock()
 
     # Gossip with peers, and reads of the store without it
 
@@ -436,18 +445,16 @@
         while True:
             answered_at = self.operator_watch.last_answer_at
             cut_off = self._is_cut_off()
-            uncertain = any(
-                map(self._is_uncertain, self.hearsay.declarations.numbers())
-            )
+            uncertain = any(map(self._is_uncertain, self.gossip.declarations.numbers()))
             await asyncio.sleep(
                 FAST_GOSSIP_INTERVAL_SECONDS
                 if cut_off or uncertain
                 else GOSSIP_INTERVAL_SECONDS
             )
-            await self.hearsay.sync_with_one()
-            self.beliefs.heard_at = max(
+            await self.gossip.sync_with_one()
+            self.cluster_state.last_contact_at = max(
                 answered_at,
-                self.hearsay.last_reply_at,
+                self.gossip.last_reply_at,
                 self.operator_watch.last_answer_at,
             )
 
@@ -455,7 +462,7 @@
         """Whether this process currently gets no declarations from the store."""
         if self._is_entry:
             return self.operator_watch.failing and not self.readers.covered
-        return self.beliefs.configuration is None
+        return self.cluster_state.configuration is None
 
     def _region_may_lag(self) -> bool:
         """Whether peers of the region may lack what other regions have."""
@@ -484,7 +491,7 @@
 
     def _own_read_delay(self, wait: float = 0.0) -> float:
         """Return for how many seconds other agents of the region read first."""
-        members = self.hearsay.members.values()
+        members = self.gossip.members.values()
         nearby = (
             m.vm for m in members if m.kind == AGENT and m.region == self.me.region
         )
@@ -496,15 +503,15 @@
         """Accept a newer configuration now and then, until a nearby peer replied."""
         if now - self._configuration_wanted_at > CONFIGURATION_INTERVAL_SECONDS:
             self._configuration_wanted_at = now
-            self.hearsay.unwanted.discard(CONFIGURATION)
-        elif self.beliefs.configuration is not None:
+            self.gossip.unwanted.discard(CONFIGURATION)
+        elif self.cluster_state.configuration is not None:
             # A remote peer is not asked for it while a nearby one replies.
-            replied = self.hearsay.last_local_reply_at > self._configuration_wanted_at
+            replied = self.gossip.last_local_reply_at > self._configuration_wanted_at
             if (
                 replied
                 or now - self._configuration_wanted_at > RECENT_LOCAL_REPLY_SECONDS
             ):
-                self.hearsay.unwanted.add(CONFIGURATION)
+                self.gossip.unwanted.add(CONFIGURATION)
 
     async def _read_until_notified(self) -> bool:
         """Read the declarations, and stop when an entry sends them first.
@@ -518,7 +525,7 @@
         known : bool
             Whether the declarations are known now, from the store or from an entry.
         """
-        read = asyncio.create_task(self.store.read(self.deployment.operators))
+        read = asyncio.create_task(self.store.read(self.deployment.declarations_table))
         try:
             while not read.done() and self._needs_store_read(self.clock()):
                 await asyncio.wait({read}, timeout=GOSSIP_CHECK_SECONDS)
@@ -533,10 +540,12 @@
 
     def _needs_store_read(self, now: float) -> bool:
         """Whether an agent has to read the store because no entry sends it anything."""
-        return self.beliefs.configuration is None or self._no_recent_gossip(now)
+        return self.cluster_state.configuration is None or self._no_recent_gossip(now)
 
     def _no_recent_gossip(self, now: float) -> bool:
-        idle_seconds = now - max(self.beliefs.began, self.hearsay.last_reply_at)
+        idle_seconds = now - max(
+            self.cluster_state.started_at, self.gossip.last_reply_at
+        )
         return (
             idle_seconds > NO_GOSSIP_SECONDS
             and idle_seconds > NO_GOSSIP_SECONDS + self._own_read_delay()
@@ -551,7 +560,7 @@
             )
             await self.read_members()
         while True:
-            interval = members_interval(len(self.hearsay.members))
+            interval = members_interval(len(self.gossip.members))
             await asyncio.sleep(interval * self.rng.uniform(0.8, 1.2))
             await self.read_members()
 
@@ -566,7 +575,7 @@
         while not await self.read_members():
             await asyncio.sleep(self.rng.uniform(0.5, 1.0))
         self._members_known.set()
-        if self.hearsay.members.get(self.me.vm) == self.me:
+        if self.gossip.members.get(self.me.vm) == self.me:
             return True
         while True:
             try:
--- a/packages/wasabideck_base/wasabideck_base/table.py
+++ b/packages/wasabideck_base/wasabideck_base/table.py
@@ -8,8 +8,8 @@
 import orjson
 from attrs import define, frozen
 
-from .http import HttpClient
-from .http_answers import PlatformRefused, PlatformUnavailable, understood
+from .http_client import HttpClient
+from .http_responses import PlatformRefused, PlatformUnavailable, parse_response
 
 __all__ = ["Check", "CheckFailed", "Table", "Write"]
 
@@ -50,7 +50,7 @@
         """Return one row, or None."""
         params = {"key": key}
         rows = await self.http.json("GET", f"/v1/tables/{table}", params=params)
-        return understood(table, rows, _first_row)
+        return parse_response(table, rows, _first_row)
 
     async def scan(
         self, table: str, prefix: str = "", above: int = -1
@@ -58,7 +58,7 @@
         """Return the rows with a key prefix and a ``sequence`` above a number."""
         params = {"prefix": prefix, "above": str(above)}
         rows = await self.http.json("GET", f"/v1/tables/{table}", params=params)
-        return understood(table, rows, _parse_rows)
+        return parse_response(table, rows, _parse_rows)
 
     async def transact(
         self, checks: Sequence[Check], writes: Sequence[Write]
@@ -80,14 +80,14 @@
                 "POST", "/v1/transact", orjson.dumps(body), accept=(200, 409)
             )
         except PlatformRefused as exc:
-            if exc.answer_status < 500:
+            if exc.response_status < 500:
                 raise
             # The error may come from a proxy in front of the table: the table may
             # have executed the transaction nevertheless.
             raise PlatformUnavailable(exc.url, str(exc), maybe_applied=True) from exc
         if status == 200:
             return None
-        return understood("transact", data, partial(_parse_failed_check, checks))
+        return parse_response("transact", data, partial(_parse_failed_check, checks))
 
 
 def _first_row(rows: list) -> dict | None:
--- a/packages/wasabideck_base/wasabideck_base/table_watch.py
+++ b/packages/wasabideck_base/wasabideck_base/table_watch.py
@@ -8,11 +8,11 @@
 
 from attrs import define, field, frozen
 from wasabideck_policy.outcomes import WasabideckError
-from wasabideck_policy.readers import COVERED_SECONDS
+from wasabideck_policy.reader_selection import CONFIRMATION_VALID_SECONDS
 
 from .events import Events
-from .http_answers import PlatformRefused, PlatformUnavailable
-from .rows import Changes, HistoryLost, Row, RowStore
+from .http_responses import PlatformRefused, PlatformUnavailable
+from .rows import HistoryLost, Row, RowChanges, RowStore
 
 __all__ = ["TablePosition", "TableWatch"]
 
@@ -213,7 +213,7 @@
         A call whose answer is arriving continues: over a full link an answer takes
         seconds, and a new call would transfer all of it again.
         """
-        now, received = self.clock(), self.store.received(self.table)
+        now, received = self.clock(), self.store.received_bytes(self.table)
         if newest <= self.newest:
             return
         missing = self._missing_row
@@ -248,7 +248,7 @@
         An unresponsive connection looks like one on which nothing changes, until an
         answer is overdue.
         """
-        received = self.store.received(self.table)
+        received = self.store.received_bytes(self.table)
         if received > self._bytes_received:
             self._bytes_arrived_at, self._bytes_received = now, received
         last_activity_at = max(
@@ -310,7 +310,9 @@
     async def _follow(self) -> None:
         missing_since, max_age = self._missing_bounds()
         requested_at = self._follow_started_at = self.clock()
-        follow = self.store.follow(self.table, self.version, self.wait_seconds)
+        follow = self.store.wait_for_changes(
+            self.table, self.version, self.wait_seconds
+        )
         try:
             changes = await self._await_call(follow)
         finally:
@@ -349,9 +351,9 @@
         missing_since = max(self._complete_until, self._adopted_complete_until)
         if self._failures or self._adopted_complete_until <= self.last_answer_at:
             return missing_since, MAX_BACKDATING_SECONDS
-        return missing_since, MAX_BACKDATING_SECONDS + COVERED_SECONDS
+        return missing_since, MAX_BACKDATING_SECONDS + CONFIRMATION_VALID_SECONDS
 
-    async def _await_call(self, call: object) -> Changes:
+    async def _await_call(self, call: object) -> RowChanges:
         """Return the answer to a call, which ``note_newer_row`` may cancel."""
         self._pending_call = asyncio.ensure_future(call)
         self._requested_at = self.clock()
@@ -365,7 +367,7 @@
         finally:
             self._pending_call = None
 
-    def _apply(self, changes: Changes) -> None:
+    def _apply(self, changes: RowChanges) -> None:
         newer = [r for r in changes.rows if r.version > self._known_version(r.key)]
         for row in newer:
             self._rows[row.key] = row
@@ -374,7 +376,7 @@
         if newer:
             self.on_rows(newer)
 
-    def _record_answer(self, changes: Changes, requested_at: float) -> None:
+    def _record_answer(self, changes: RowChanges, requested_at: float) -> None:
         self.last_answer_at = self.clock()
         self._complete_until = self.last_answer_at - self._transit_seconds(
             changes, requested_at
@@ -387,11 +389,11 @@
             )
             self.on_recovery(outage_seconds)
 
-    def _transit_seconds(self, changes: Changes, requested_at: float) -> float:
+    def _transit_seconds(self, changes: RowChanges, requested_at: float) -> float:
         """Return an answer's transit time in excess of the shortest one so far."""
-        if changes.answered_at is None:
+        if changes.store_responded_at is None:
             return 0.0
-        offset = self.last_answer_at - changes.answered_at
+        offset = self.last_answer_at - changes.store_responded_at
         drift = MAX_CLOCK_DRIFT_RATIO * (self.last_answer_at - self._clock_offset_at)
         self._min_clock_offset = min(self._min_clock_offset + max(0.0, drift), offset)
         self._clock_offset_at = self.last_answer_at
--- a/packages/wasabideck_base/wasabideck_base/spread.py
+++ b/packages/wasabideck_base/wasabideck_base/ticket_replication.py
@@ -10,19 +10,19 @@
 from attrs import define, field
 from grpclib.client import Channel
 from grpclib.server import Stream
-from wasabideck_policy.membership import Heard
+from wasabideck_policy.membership import StartupKnowledge
 from wasabideck_policy.quarantine import Quarantine
 from wasabideck_policy.tickets import Assignment, TicketState
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.convert import assignments_from, entries_from
-from wasabideck_wire.crashes import crashes_from, crashes_to
+from wasabideck_wire.convert import assignments_from_entries, assignments_to_entries
+from wasabideck_wire.crashes import crashes_to_messages, merge_crashes
 from wasabideck_wire.inner_grpc import PeersBase, PeersStub
 
 from .events import Events
 from .table import Table
 from .ticket_store import read_changes, read_head
 
-__all__ = ["PeersService", "Spread"]
+__all__ = ["PeersService", "TicketReplication"]
 
 SYNC_TIMEOUT_SECONDS = 1.0
 SYNC_PEER_EXPIRY_SECONDS = 5.0
@@ -31,7 +31,7 @@
 
 
 @define
-class Spread:
+class TicketReplication:
     """A process's replica of the ticket state, and the subscribers to its changes.
 
     Invariant: if ``state.sequence`` is S, every change that was accepted up to S is
@@ -50,14 +50,14 @@
     head_known_at: float = float("-inf")
     clock: Callable[[], float] = time.monotonic
     quarantine: Quarantine = field(factory=Quarantine)
-    _heard: Heard = field(factory=Heard)
+    _startup_knowledge: StartupKnowledge = field(factory=StartupKnowledge)
     _change_events: list[asyncio.Event] = field(factory=list)
     _listeners: list[Callable[[list[Assignment]], None]] = field(factory=list)
 
     @property
-    def heard(self) -> bool:
+    def ready(self) -> bool:
         """Whether enough state was received; until then nothing may be served."""
-        return self._heard.done
+        return self._startup_knowledge.sufficient
 
     def subscribe(self) -> asyncio.Event:
         """Return an event that is set whenever the state changes."""
@@ -65,7 +65,7 @@
         self._change_events.append(changed)
         return changed
 
-    def listen(self, listener: Callable[[list[Assignment]], None]) -> None:
+    def add_listener(self, listener: Callable[[list[Assignment]], None]) -> None:
         """Call a function with each list of changes that is merged from now on."""
         self._listeners.append(listener)
 
@@ -108,18 +108,18 @@
         reply = await PeersStub(channel).Sync(req, timeout=SYNC_TIMEOUT_SECONDS)
         self.merge_crashes(reply.quarantined)
         if reply.heard:
-            self.merge(assignments_from(reply.entries), reply.sequence)
+            self.merge(assignments_from_entries(reply.entries), reply.sequence)
             self._record_known_head(
                 vm, started_at - reply.head_age_ms / 1000, entry_count
             )
 
     def crash_messages(self) -> list[pb.Quarantined]:
         """Return messages with all crashes that have not expired."""
-        return crashes_to(self.quarantine, self.events.wall())
+        return crashes_to_messages(self.quarantine, self.events.wall())
 
     def merge_crashes(self, messages: Iterable[pb.Quarantined]) -> None:
         """Merge the crashes that another process reports."""
-        crashes_from(self.quarantine, messages, self.events.wall())
+        merge_crashes(self.quarantine, messages, self.events.wall())
 
     async def push(self, channel: Channel, changes: Iterable[Assignment]) -> None:
         """Send changes to another process."""
@@ -127,7 +127,7 @@
             vm=self.vm,
             sequence=self.state.sequence,
             state_hash=self.state.state_hash(),
-            entries=entries_from(changes),
+            entries=assignments_to_entries(changes),
         )
         await PeersStub(channel).Sync(req, timeout=SYNC_TIMEOUT_SECONDS)
 
@@ -139,9 +139,11 @@
         self, vm: str, head_known_at: float, entry_count: int
     ) -> None:
         self.head_known_at = max(self.head_known_at, head_known_at)
-        was_insufficient = not self._heard.done
+        was_insufficient = not self._startup_knowledge.sufficient
         if (
-            self._heard.hear(vm, self.clock() - head_known_at, entry_count)
+            self._startup_knowledge.record_peer_state(
+                vm, self.clock() - head_known_at, entry_count
+            )
             and was_insufficient
         ):
             self._notify_subscribers()
@@ -155,29 +157,29 @@
 class PeersService(PeersBase):
     """gRPC service that compares ticket states and reports this process's status."""
 
-    spread: Spread
+    replication: TicketReplication
     status: Callable[[pb.StatusRequest], pb.StatusReply]
     synced_at: dict[str, float] = field(factory=dict)
     _changed: asyncio.Event = field(factory=asyncio.Event)
 
-    def tell(self) -> None:
+    def notify_watchers(self) -> None:
         """Send the status to all watchers now, instead of at their next interval."""
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    def watchers(self) -> set[str]:
+    def recent_sync_vms(self) -> set[str]:
         """Return the VMs that recently compared their state with this one."""
-        limit = self.spread.clock() - SYNC_PEER_EXPIRY_SECONDS
+        limit = self.replication.clock() - SYNC_PEER_EXPIRY_SECONDS
         self.synced_at = {vm: at for vm, at in self.synced_at.items() if at > limit}
         return set(self.synced_at)
 
     async def Sync(self, stream: Stream[pb.SyncRequest, pb.SyncReply]) -> None:
         """Merge what is newer at the caller; return the changes that it lacks."""
         req = await stream.recv_message()
-        self.synced_at[req.vm] = self.spread.clock()
+        self.synced_at[req.vm] = self.replication.clock()
         if req.entries:
-            self.spread.merge(assignments_from(req.entries))
-        self.spread.merge_crashes(req.quarantined)
+            self.replication.merge(assignments_from_entries(req.entries))
+        self.replication.merge_crashes(req.quarantined)
         await stream.send_message(self._reply(req))
 
     async def Status(self, stream: Stream[pb.StatusRequest, pb.StatusReply]) -> None:
@@ -199,18 +201,20 @@
                     await changed.wait()
 
     def _reply(self, req: pb.SyncRequest) -> pb.SyncReply:
-        state = self.spread.state
+        state = self.replication.state
         equal = req.state_hash == state.state_hash()
-        missing = [] if equal else state.above(req.sequence)
+        missing = [] if equal else state.accepted_after(req.sequence)
         if not equal and not missing and req.sequence == state.sequence:
-            # The invariant of ``Spread`` excludes this case. If it occurs, the whole
-            # state is sent.
+            # The invariant of ``TicketReplication`` excludes this case. If it occurs,
+            # the whole state is sent.
             missing = state.assignments()
         return pb.SyncReply(
             sequence=state.sequence,
             state_hash=state.state_hash(),
-            entries=entries_from(missing if self.spread.heard else []),
-            heard=self.spread.heard,
-            quarantined=self.spread.crash_messages(),
-            head_age_ms=int(min(self.spread.head_age(), MAX_HEAD_AGE_SECONDS) * 1000),
+            entries=assignments_to_entries(missing if self.replication.ready else []),
+            heard=self.replication.ready,
+            quarantined=self.replication.crash_messages(),
+            head_age_ms=int(
+                min(self.replication.head_age(), MAX_HEAD_AGE_SECONDS) * 1000
+            ),
         )
--- a/packages/wasabideck_base/wasabideck_base/ticket_store.py
+++ b/packages/wasabideck_base/wasabideck_base/ticket_store.py
@@ -13,24 +13,24 @@
     Ticket,
     TicketConflict,
     TicketSuperseded,
-    digest_of,
+    ticket_digest,
 )
 
-from .http_answers import PlatformUnavailable
+from .http_responses import PlatformUnavailable
 from .table import Check, Table, Write
 
 __all__ = [
-    "Accepted",
+    "AcceptedTicket",
     "Head",
     "TicketRaced",
     "TicketUnknown",
     "accept_ticket",
-    "assignments_of",
+    "assignments_from_ticket",
     "list_tickets",
     "read_changes",
     "read_head",
     "read_ticket",
-    "settle_ticket",
+    "resolve_acceptance",
 ]
 
 HEAD = "head"
@@ -63,20 +63,20 @@
 
 
 @frozen
-class Accepted:
+class AcceptedTicket:
     """An accepted ticket, as the table holds it.
 
     Attributes
     ----------
     sequence : int
         Its position in the order of acceptance.
-    again : bool
+    already_accepted : bool
         Whether it was accepted by an earlier submission.
     """
 
     ticket: Ticket
     sequence: int
-    again: bool = False
+    already_accepted: bool = False
 
 
 @frozen
@@ -97,7 +97,7 @@
 
 async def accept_ticket(
     table: Table, ticket: Ticket, operator: str, now: float
-) -> Accepted:
+) -> AcceptedTicket:
     """Accept a ticket, or return it as accepted earlier.
 
     Raises
@@ -116,7 +116,7 @@
     lost_write: PlatformUnavailable | None = None
     for _ in range(MAX_RACES):
         found = await _read_decision_state(table, ticket, lost_write)
-        if isinstance(found, Accepted):
+        if isinstance(found, AcceptedTicket):
             return found
         head, holders = found
         try:
@@ -132,7 +132,7 @@
             lost_write = None if await _fence(table, head, ticket, exc) else exc
             continue
         if failed is None:
-            return Accepted(ticket, head.sequence + 1)
+            return AcceptedTicket(ticket, head.sequence + 1)
         if failed.check.table == TICKETS_TABLE and failed.found:
             return _accepted_from_row(failed.found, ticket)
         lost_write = None
@@ -143,7 +143,7 @@
 
 async def _read_decision_state(
     table: Table, ticket: Ticket, lost_write: PlatformUnavailable | None
-) -> Accepted | tuple[Head, dict[Key, int]]:
+) -> AcceptedTicket | tuple[Head, dict[Key, int]]:
     """Return the ticket if it is accepted, else the rows its acceptance depends on.
 
     ``lost_write`` is the failure of an earlier write whose result is still unknown.
@@ -151,7 +151,7 @@
     try:
         head = await read_head(table)
         if accepted := await _find_accepted(table, ticket):
-            return evolve(accepted, again=lost_write is None)
+            return evolve(accepted, already_accepted=lost_write is None)
         return head, await _read_holders(table, ticket)
     except PlatformUnavailable as exc:
         if lost_write:
@@ -160,7 +160,7 @@
         raise PlatformUnavailable(exc.url, str(exc), maybe_applied=False) from exc
 
 
-async def settle_ticket(table: Table, number: int) -> Accepted | None:
+async def resolve_acceptance(table: Table, number: int) -> AcceptedTicket | None:
     """Return an accepted ticket, or None if it is certain that it isn't accepted.
 
     An absent row alone proves nothing: a write whose response was lost may still
@@ -205,16 +205,16 @@
     )
 
 
-async def _find_accepted(table: Table, ticket: Ticket) -> Accepted | None:
+async def _find_accepted(table: Table, ticket: Ticket) -> AcceptedTicket | None:
     row = await table.get(TICKETS_TABLE, _row_key(ticket.number))
     return _accepted_from_row(row, ticket) if row else None
 
 
-def _accepted_from_row(row: dict, ticket: Ticket) -> Accepted:
+def _accepted_from_row(row: dict, ticket: Ticket) -> AcceptedTicket:
     """Return a row's accepted ticket; raises ``TicketConflict`` if contents differ."""
-    if row["digest"] != digest_of(ticket):
+    if row["digest"] != ticket_digest(ticket):
         raise TicketConflict(ticket.number)
-    return Accepted(_ticket_from_row(row), row["sequence"], again=True)
+    return AcceptedTicket(_ticket_from_row(row), row["sequence"], already_accepted=True)
 
 
 async def _read_holders(table: Table, ticket: Ticket) -> dict[Key, int]:
@@ -265,7 +265,7 @@
 def _acceptance_writes(ticket: Ticket, sequence: int) -> list[Write]:
     row = {
         "sequence": sequence,
-        "digest": digest_of(ticket),
+        "digest": ticket_digest(ticket),
         "number": ticket.number,
         "note": ticket.note,
         "operator": ticket.operator,
@@ -292,7 +292,7 @@
     return Head(**row) if row else Head()
 
 
-def assignments_of(accepted: Accepted) -> list[Assignment]:
+def assignments_from_ticket(accepted: AcceptedTicket) -> list[Assignment]:
     """Return an assignment for each change of an accepted ticket."""
     ticket = accepted.ticket
     return [
@@ -310,16 +310,16 @@
     ]
 
 
-async def read_ticket(table: Table, number: int) -> Accepted | None:
+async def read_ticket(table: Table, number: int) -> AcceptedTicket | None:
     """Return an accepted ticket, or None."""
     row = await table.get(TICKETS_TABLE, _row_key(number))
-    return Accepted(_ticket_from_row(row), row["sequence"]) if row else None
+    return AcceptedTicket(_ticket_from_row(row), row["sequence"]) if row else None
 
 
-async def list_tickets(table: Table) -> list[Accepted]:
+async def list_tickets(table: Table) -> list[AcceptedTicket]:
     """Return all accepted tickets, ordered by number."""
     rows = await table.scan(TICKETS_TABLE)
-    return [Accepted(_ticket_from_row(row), row["sequence"]) for _, row in rows]
+    return [AcceptedTicket(_ticket_from_row(row), row["sequence"]) for _, row in rows]
 
 
 def _row_key(number: int) -> str:
--- a/packages/wasabideck_base/wasabideck_base/tls.py
+++ b/packages/wasabideck_base/wasabideck_base/tls.py
@@ -10,7 +10,7 @@
 
 from .settings import TlsSettings
 
-__all__ = ["Keys", "KeysUnusable", "client_context"]
+__all__ = ["TlsContexts", "KeysUnusable", "operator_client_context"]
 
 ALPN = ["h2"]
 
@@ -24,7 +24,7 @@
 
 
 @define
-class Keys:
+class TlsContexts:
     """TLS contexts of a process, which stay in use while their files are replaced.
 
     Attributes
@@ -32,7 +32,7 @@
     inner_server, inner_client : ssl.SSLContext
         Contexts of the inner protocol: both ends present a certificate of the
         fleet's authority.
-    http : ssl.SSLContext
+    caller_server : ssl.SSLContext
         Context for callers and operators, who present a token instead.
 
     Raises
@@ -44,19 +44,19 @@
     files: TlsSettings
     inner_server: ssl.SSLContext = field(init=False)
     inner_client: ssl.SSLContext = field(init=False)
-    http: ssl.SSLContext = field(init=False)
+    caller_server: ssl.SSLContext = field(init=False)
     _loaded_file_states: tuple = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Load the files."""
         self.inner_server = _inner_context(ssl.PROTOCOL_TLS_SERVER)
         self.inner_client = _inner_context(ssl.PROTOCOL_TLS_CLIENT)
-        self.http = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-        self.http.minimum_version = ssl.TLSVersion.TLSv1_2
+        self.caller_server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+        self.caller_server.minimum_version = ssl.TLSVersion.TLSv1_2
         self._load()
         self._loaded_file_states = self._file_states()
 
-    def refresh(self) -> bool:
+    def reload_if_changed(self) -> bool:
         """Reload key files that have been replaced; return whether there were any.
 
         Open connections stay open. Authorities that have been removed from the
@@ -81,7 +81,7 @@
             # loaded into a separate context, because a context with a certificate and
             # a key that do not match would fail every handshake.
             self._load_into(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER))
-            for context in (self.inner_server, self.inner_client, self.http):
+            for context in (self.inner_server, self.inner_client, self.caller_server):
                 self._load_into(context)
         except (OSError, ValueError) as exc:
             raise KeysUnusable(self.files, str(exc)) from exc
@@ -97,7 +97,7 @@
         )
 
 
-def client_context(authority: str) -> ssl.SSLContext:
+def operator_client_context(authority: str) -> ssl.SSLContext:
     """Return the context of an operator's client; it verifies the entry's host.
 
     Raises
--- a/packages/wasabideck_base/wasabideck_base/node_metrics.py
+++ b/packages/wasabideck_base/wasabideck_base/vm_metrics.py
@@ -11,7 +11,7 @@
 
 from .events import Events
 
-__all__ = ["NodeMetrics", "listen_for_scrapes"]
+__all__ = ["VMMetrics", "serve_metrics"]
 
 # Latency targets are 0.3 to 0.4 s for drafts and 0.13 s for orders; deadlines are 0.6 s
 # and 6 s.
@@ -34,7 +34,7 @@
 
 
 @define
-class NodeMetrics:
+class VMMetrics:
     """Counts events; registered with ``Events`` as a listener."""
 
     registry: Registry = field(factory=Registry)
@@ -84,8 +84,8 @@
             )
 
 
-async def listen_for_scrapes(
-    metrics: NodeMetrics, ip: str, port: int, events: Events
+async def serve_metrics(
+    metrics: VMMetrics, ip: str, port: int, events: Events
 ) -> asyncio.Server | None:
     """Serve the metrics on a port; return None if the port is in use."""
     try:
@@ -96,7 +96,7 @@
 
 
 async def _serve_scrape(
-    metrics: NodeMetrics, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    metrics: VMMetrics, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     try:
         async with asyncio.timeout(SCRAPE_TIMEOUT_SECONDS):
--- a/packages/wasabideck_base/wasabideck_base/node_process.py
+++ b/packages/wasabideck_base/wasabideck_base/vm_process.py
@@ -16,18 +16,18 @@
 from wasabideck_policy.membership import AGENT, ENTRY, Member
 from wasabideck_policy.outcomes import WasabideckError
 
-from .believer import Believer
 from .bounded_log import BoundedLog
-from .channels import Channels, observe_clock
-from .deployment import Deployment
-from .events import Clock, Events
-from .hearsay import HearsayService
+from .channels import Channels, exchange_clock
+from .deployment import DeploymentAdapter
+from .events import Events, HybridClock
+from .gossip import GossipService
 from .http_pool import HttpPool
 from .inner_limits import InnerServer
-from .node import NodeSettings
-from .node_metrics import NodeMetrics, listen_for_scrapes
+from .state_sync import StateSync
+from .vm_metrics import VMMetrics, serve_metrics
+from .vm_settings import VMSettings
 
-__all__ = ["NodeProcess", "node_process"]
+__all__ = ["VMProcess", "run_vm_process"]
 
 # Flow-control window in bytes of one response of the inner protocol. Chunks are sent
 # over the same link as the streams of the VM's server: bytes in flight wait in that
@@ -35,13 +35,13 @@
 # 24 KB in flight, 43 and 46 in 100 of the drafts that started during a rollout had an
 # event over 120 ms late; with 4 KB, 1 to 5 in 100. The window also adapts the transfer
 # to the link's real rate, whatever its nominal rate.
-ANSWER_WINDOW = 4096
+RESPONSE_WINDOW_BYTES = 4096
 # Ports of the metrics endpoints; an entry and an agent on one VM need different ones.
 METRICS_PORTS = {ENTRY: 9464, AGENT: 9465}
 
 
 @define
-class NodeProcess:
+class VMProcess:
     """Resources that a running process uses.
 
     Attributes
@@ -52,18 +52,18 @@
         Whether it terminates because one of its loops failed.
     """
 
-    cfg: NodeSettings
+    cfg: VMSettings
     events: Events
     pool: HttpPool
     channels: Channels
-    believer: Believer
+    state_sync: StateSync
     clock: Callable[[], float]
     rng: random.Random
     stop: asyncio.Event
     failed: bool = False
-    on_reload: list[Callable[[NodeSettings], None]] = field(factory=list)
+    reload_listeners: list[Callable[[VMSettings], None]] = field(factory=list)
 
-    def keep(self, coroutine: Coroutine) -> asyncio.Task:
+    def start_loop(self, coroutine: Coroutine) -> asyncio.Task:
         """Run a loop for the lifetime of the process.
 
         A loop that fails terminates the process, which is then restarted as a whole:
@@ -82,9 +82,9 @@
 
 
 @asynccontextmanager
-async def node_process(
-    cfg: NodeSettings, kind: str, deployment: Deployment, services: Callable
-) -> AsyncIterator[NodeProcess]:
+async def run_vm_process(
+    cfg: VMSettings, kind: str, deployment: DeploymentAdapter, services: Callable
+) -> AsyncIterator[VMProcess]:
     """Run everything that the processes on a VM share until the block ends.
 
     Parameters
@@ -102,28 +102,31 @@
     events = _open_log(cfg.vm)
     # Seeded with the VM's name, process id and time: no two processes draw alike.
     rng = random.Random(f"{cfg.vm}/{os.getpid()}/{time.monotonic_ns()}")
-    channels = Channels(events.clock, window=ANSWER_WINDOW)
+    channels = Channels(events.clock, window_bytes=RESPONSE_WINDOW_BYTES)
     own_member = Member(
         cfg.vm, kind, cfg.inner_address, cfg.region, cfg.data_centre, cfg.service
     )
     async with HttpPool() as pool:
         store = deployment.open_store(pool, cfg)
-        believer = Believer(
+        state_sync = StateSync(
             cfg, own_member, deployment, store, channels, events, loop.time, rng
         )
-        process = NodeProcess(
-            cfg, events, pool, channels, believer, loop.time, rng, stop
+        process = VMProcess(
+            cfg, events, pool, channels, state_sync, loop.time, rng, stop
         )
-        inner = InnerServer([HearsayService(believer.hearsay), *services(process)])
-        observe_clock(inner, events.clock)
+        inner = InnerServer([GossipService(state_sync.gossip), *services(process)])
+        exchange_clock(inner, events.clock)
         await inner.start(cfg.ip, cfg.inner_port)
-        metrics = NodeMetrics()
+        metrics = VMMetrics()
         events.listeners.append(metrics.count)
-        metrics_server = await listen_for_scrapes(
+        metrics_server = await serve_metrics(
             metrics, cfg.ip, METRICS_PORTS[kind], events
         )
-        loops = [*believer.loops(), _run_reloads(process, deployment, reload_requested)]
-        tasks = [process.keep(coroutine) for coroutine in loops]
+        loops = [
+            *state_sync.loops(),
+            _run_reloads(process, deployment, reload_requested),
+        ]
+        tasks = [process.start_loop(coroutine) for coroutine in loops]
         events.emit("process.ready", kind=kind, address=cfg.inner_address)
         try:
             yield process
@@ -138,7 +141,7 @@
 
 
 async def _run_reloads(
-    process: NodeProcess, deployment: Deployment, reload_requested: asyncio.Event
+    process: VMProcess, deployment: DeploymentAdapter, reload_requested: asyncio.Event
 ) -> None:
     """Apply changed settings on request; settings that cannot be read are ignored."""
     while True:
@@ -149,9 +152,9 @@
         except WasabideckError as exc:
             process.events.emit("settings.unusable", why=str(exc))
             continue
-        process.believer.cfg = process.cfg
+        process.state_sync.cfg = process.cfg
         process.events.emit("settings.reloaded")
-        for listener in process.on_reload:
+        for listener in process.reload_listeners:
             listener(process.cfg)
 
 
@@ -159,4 +162,4 @@
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     eliot.add_destinations(BoundedLog(descriptor, time.monotonic))
-    return Events(vm, Clock(), time.time)
+    return Events(vm, HybridClock(), time.time)
--- a/packages/wasabideck_base/wasabideck_base/node.py
+++ b/packages/wasabideck_base/wasabideck_base/vm_settings.py
@@ -4,36 +4,36 @@
 
 from attrs import field, frozen
 
-__all__ = ["NodeBounds", "NodeSettings", "StoreSettings"]
+__all__ = ["DeploymentLimits", "VMSettings", "StoreSettings"]
 
 
 @frozen
-class NodeBounds:
+class DeploymentLimits:
     """Limits that the deployment sets, in seconds unless stated otherwise.
 
     Attributes
     ----------
-    stable : float
+    disturbance_hold_seconds : float
         Time for which a VM counts as disturbed after a disturbance has ended.
-    drain : float
+    drain_seconds : float
         Time during which a server that is shutting down may still receive requests.
-    grace : float
+    shutdown_grace_seconds : float
         Time between the signal to stop and the forced end of the process.
-    configuration, version : float
+    configuration_deadline_seconds, version_deadline_seconds : float
         Time until a configuration, or declared weights, must be in effect.
-    retry_ratio, retry_slack, retry_window : float
+    retry_ratio, shared_retry_allowance, retry_window_seconds : float
         Retry budget: retries that each request allows, retries that all entries
         together may make in addition, and the window in which both are counted.
     """
 
-    stable: float = 3.0
-    drain: float = 2.0
-    grace: float = 8.0
-    configuration: float = 2.0
-    version: float = 8.0
+    disturbance_hold_seconds: float = 3.0
+    drain_seconds: float = 2.0
+    shutdown_grace_seconds: float = 8.0
+    configuration_deadline_seconds: float = 2.0
+    version_deadline_seconds: float = 8.0
     retry_ratio: float = 0.2
-    retry_slack: float = 100.0
-    retry_window: float = 10.0
+    shared_retry_allowance: float = 100.0
+    retry_window_seconds: float = 10.0
 
 
 @frozen
@@ -42,37 +42,37 @@
 
     Attributes
     ----------
-    history : float
+    history_seconds : float
         Seconds for which it keeps the history of changes.
-    row_bytes : int
+    max_row_bytes : int
         Maximum size of one row in bytes.
     """
 
     address: str
-    history: float = 20.0
-    row_bytes: int = 65536
+    history_seconds: float = 20.0
+    max_row_bytes: int = 65536
 
 
 @frozen
-class NodeSettings:
+class VMSettings:
     """Where one process runs, which addresses it listens on, and what it works with.
 
     Attributes
     ----------
     regions : dict of str to str
         Region by data centre.
-    front, ready : str
+    caller_address, health_check_address : str
         Addresses for callers and for the load balancer's health checks; empty on
         agents.
     inner_port : int
         Port of the inner protocol, the same on all VMs.
     seeds : tuple of str
         Addresses of a few VMs that are queried when no other process is known.
-    link_rate : float
+    link_bytes_per_second : float
         Bandwidth of the VM's link in each direction, in bytes per second.
     server_address, service : str
         Address of the backend server beside an agent, and its service.
-    heartbeat : float
+    heartbeat_seconds : float
         Seconds between two heartbeats of a backend server to the store.
     """
 
@@ -83,14 +83,14 @@
     inner_port: int
     store: StoreSettings
     regions: dict[str, str] = field(factory=dict)
-    front: str = ""
-    ready: str = ""
+    caller_address: str = ""
+    health_check_address: str = ""
     seeds: tuple[str, ...] = ()
-    link_rate: float = 0.0
+    link_bytes_per_second: float = 0.0
     server_address: str = ""
     service: str = ""
-    heartbeat: float = 1.0
-    bounds: NodeBounds = field(factory=NodeBounds)
+    heartbeat_seconds: float = 1.0
+    limits: DeploymentLimits = field(factory=DeploymentLimits)
 
     @property
     def inner_address(self) -> str:
--- a/packages/wasabideck_base/wasabideck_base/weights_settings.py
+++ b/packages/wasabideck_base/wasabideck_base/weights_settings.py
@@ -4,7 +4,7 @@
 
 from attrs import field, frozen
 
-from .settings_values import at_least, choice
+from .settings_validators import at_least, choice
 
 __all__ = ["WeightsSettings"]
 
--- a/packages/wasabideck_entry/wasabideck_entry/access.py
+++ b/packages/wasabideck_entry/wasabideck_entry/access.py
@@ -8,9 +8,9 @@
 from attrs import evolve
 from wasabideck_base.command_line import CommandError
 from wasabideck_base.settings import AccessSettings
-from wasabideck_base.settings_checks import CHECKS
+from wasabideck_base.settings_checks import COMBINATION_CHECKS
 from wasabideck_base.settings_file import load_settings
-from wasabideck_base.settings_values import WrongValue
+from wasabideck_base.settings_validators import InvalidValue
 
 from .operator_client import OperatorClient
 
@@ -48,9 +48,9 @@
     """Return settings with another address, checked like the address in the file."""
     try:
         changed = evolve(cfg, entry=entry)
-    except WrongValue as exc:
+    except InvalidValue as exc:
         raise CommandError(f"entry = {entry!r}: {exc}") from None
-    for check in CHECKS[AccessSettings]:
+    for check in COMBINATION_CHECKS[AccessSettings]:
         if wrong := check(changed):
             raise CommandError(f"entry = {entry!r}: {wrong.why}")
     return changed
--- a/packages/wasabideck_entry/wasabideck_entry/calls.py
+++ b/packages/wasabideck_entry/wasabideck_entry/calls.py
@@ -12,12 +12,16 @@
 from attrs import define, field, frozen
 from wasabideck_base.channels import Channels
 from wasabideck_base.events import Events
-from wasabideck_policy.affinity import prefix_name
+from wasabideck_policy.cache_affinity import prefix_digest
+from wasabideck_policy.load_balancing import (
+    LoadBalancingPolicy,
+    RoutingRequest,
+    ServerState,
+)
 from wasabideck_policy.outcomes import Failure, NotRun, Outcome, Unknown
-from wasabideck_policy.retry import RetryBudget, costs_nothing, may_retry
-from wasabideck_policy.routing import Ask, Choice, Server
+from wasabideck_policy.retry_budget import RetryBudget, is_free_retry, may_retry
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.convert import outcome_from
+from wasabideck_wire.convert import outcome_from_final
 
 from .fleet import Fleet
 from .resolve import Resolver, barring_claim
@@ -145,7 +149,7 @@
     fleet: Fleet
     channels: Channels
     events: Events
-    choose: Choice
+    choose: LoadBalancingPolicy
     rng: random.Random
     suspects: Suspects
     resolver: Resolver
@@ -196,19 +200,19 @@
 
     def _choose_server(
         self, call: Call, progress: _Progress, fingerprint: str
-    ) -> Server | None:
+    ) -> ServerState | None:
         servers = self.fleet.candidates(call.service, progress.tried_vms)
         if progress.required_manifest:
             servers = [s for s in servers if s.manifest == progress.required_manifest]
         servers = self.suspects.eligible_servers(fingerprint, servers)
         if not servers:
             return None
-        routing_request = Ask(prefix_name(call.body), self.fleet.region)
+        routing_request = RoutingRequest(prefix_digest(call.body), self.fleet.region)
         return self.choose(servers, routing_request, self.clock(), self.rng)
 
     def _has_retry_budget(self, progress: _Progress, outcome: Outcome) -> bool:
         first = not progress.tried_vms
-        return first or costs_nothing(outcome) or self.budget.spend()
+        return first or is_free_retry(outcome) or self.budget.spend()
 
     def _may_retry(self, call: Call, progress: _Progress, outcome: Outcome) -> bool:
         before_deadline = self.clock() < call.deadline
@@ -219,7 +223,7 @@
         )
 
     async def _run_attempt(
-        self, call: Call, server: Server, progress: _Progress, fingerprint: str
+        self, call: Call, server: ServerState, progress: _Progress, fingerprint: str
     ) -> AsyncIterator[ResponseItem]:
         attempt = uuid.UUID(int=self.rng.getrandbits(128)).hex
         self.events.emit(
@@ -300,4 +304,4 @@
         return Started(started.ticket, started.version, started.manifest)
     if event.HasField("piece"):
         return Part(event.piece.data)
-    return Ended(outcome_from(event.final))
+    return Ended(outcome_from_final(event.final))
--- a/packages/wasabideck_entry/wasabideck_entry/entry.py
+++ b/packages/wasabideck_entry/wasabideck_entry/entry.py
@@ -12,25 +12,25 @@
 from sanic import Request, Sanic
 from sanic.server import AsyncioServer
 from wasabideck_base.addresses import split_address
-from wasabideck_base.channels import LINK_FAILURES, Channels, observe_clock
-from wasabideck_base.clients import Platform, connect_platform
+from wasabideck_base.channels import CALL_FAILURES, Channels, exchange_clock
 from wasabideck_base.events import Events, open_events
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.inner_limits import InnerServer
 from wasabideck_base.metrics import Metrics
+from wasabideck_base.platform_clients import PlatformClients, create_platform_clients
 from wasabideck_base.process import (
     announce_ready,
-    binding,
-    cancel_all,
-    first_of,
-    repeating,
-    reread_keys,
+    cancel_and_wait,
+    convert_bind_errors,
+    key_reload_loops,
+    periodic_with_events,
+    wait_until_stopped,
 )
 from wasabideck_base.settings import EntrySettings
-from wasabideck_base.spread import PeersService, Spread
-from wasabideck_base.tls import Keys
-from wasabideck_policy.membership import ENTRY, Member, polls
-from wasabideck_policy.routing import POLICIES
+from wasabideck_base.ticket_replication import PeersService, TicketReplication
+from wasabideck_base.tls import TlsContexts
+from wasabideck_policy.load_balancing import POLICIES
+from wasabideck_policy.membership import ENTRY, Member, head_pollers
 from wasabideck_wire import inner_pb2 as pb
 
 from .calls import Caller
@@ -61,8 +61,8 @@
     cfg: EntrySettings
     events: Events
     channels: Channels
-    platform: Platform
-    ticket_replication: Spread
+    platform: PlatformClients
+    ticket_replication: TicketReplication
     peers: PeersService
     pusher: Pusher
     fleet: Fleet
@@ -90,7 +90,9 @@
         all entries together stay far below the table's limit on reads.
         """
         now = time.monotonic()
-        ranked = polls(self.cfg.process.vm, self._data_centre, self.fleet.members)
+        ranked = head_pollers(
+            self.cfg.process.vm, self._data_centre, self.fleet.members
+        )
         if all(member.vm != self.cfg.process.vm for member in ranked):
             if (
                 self.ticket_replication.head_age() < MAX_HEAD_AGE_SECONDS
@@ -110,7 +112,7 @@
         rng = self.caller.rng
         own_vm = self.cfg.process.vm
         others = self.fleet.other_entries()
-        ranked = polls(own_vm, self._data_centre, self.fleet.members)
+        ranked = head_pollers(own_vm, self._data_centre, self.fleet.members)
         pollers = [m for m in ranked if m.vm != own_vm and m.address]
         peers_to_sync = {m.vm: m for m in (*rng.sample(pollers, min(1, len(pollers))),)}
         peers_to_sync |= {m.vm: m for m in rng.sample(others, min(1, len(others)))}
@@ -122,8 +124,8 @@
         channel = self.channels.get(member.address)
         try:
             await self.ticket_replication.sync(member.vm, channel, entry_count)
-        except LINK_FAILURES:
-            self.channels.drop(member.address, channel)
+        except CALL_FAILURES:
+            self.channels.close_channel(member.address, channel)
 
     async def sync_with_all_entries(self) -> None:
         """Exchange state with all other entries now, so that they learn of a crash."""
@@ -136,7 +138,7 @@
 
     def ready(self) -> bool:
         """Whether this entry accepts new requests."""
-        return self.ticket_replication.heard and not self.shutting_down
+        return self.ticket_replication.ready and not self.shutting_down
 
     def current_metrics(self) -> Metrics:
         """Update the metrics that are read on demand, and return all metrics."""
@@ -161,15 +163,15 @@
 async def serve_entry(cfg: EntrySettings, stop: asyncio.Event) -> None:
     """Serve until ``stop`` is set, then finish the requests in progress."""
     events, event_file = open_events(cfg.process.vm, cfg.process.events)
-    keys = Keys(cfg.tls) if cfg.tls else None
+    keys = TlsContexts(cfg.tls) if cfg.tls else None
     async with aiohttp.ClientSession() as session:
         entry = _assemble(cfg, events, session, keys)
-        entry.events_lost = lambda: event_file.lost
+        entry.events_lost = lambda: event_file.lost_events
         events.listeners.append(entry.metrics.count)
         server = InnerServer([entry.peers])
-        observe_clock(server, events.clock)
+        exchange_clock(server, events.clock)
         host, port = split_address(cfg.process.inner)
-        with binding(cfg.process.inner):
+        with convert_bind_errors(cfg.process.inner):
             await server.start(host, port, ssl=keys and keys.inner_server)
         inner_address = server._server.sockets[0].getsockname()
         await entry.read_members()
@@ -185,11 +187,11 @@
             inner=f"{inner_address[0]}:{inner_address[1]}",
             http=address,
         )
-        loops = [*_background_loops(entry), *reread_keys(keys, events)]
+        loops = [*_background_loops(entry), *key_reload_loops(keys, events)]
         tasks = [asyncio.create_task(loop) for loop in loops]
-        await first_of(stop, tasks)
+        await wait_until_stopped(stop, tasks)
         await _drain(entry)
-        await cancel_all(tasks)
+        await cancel_and_wait(tasks)
         server.close()
         entry.channels.close()
         events.emit("process.stopped", kind=ENTRY)
@@ -199,13 +201,13 @@
     cfg: EntrySettings,
     events: Events,
     session: aiohttp.ClientSession,
-    keys: Keys | None,
+    keys: TlsContexts | None,
 ) -> Entry:
     channels = Channels(events.clock, keys and keys.inner_client)
     fleet = Fleet(cfg.process.vm, channels, cfg.process.region)
     rng = random.Random(f"{cfg.seed}/{cfg.process.vm}/{time.time_ns()}")
-    ticket_replication = Spread(cfg.process.vm, events)
-    platform = connect_platform(cfg.platform, session)
+    ticket_replication = TicketReplication(cfg.process.vm, events)
+    platform = create_platform_clients(cfg.platform, session)
     suspects = Suspects(ticket_replication.quarantine, wall=events.wall)
     resolver = Resolver(platform.table)
     entry: Entry
@@ -213,7 +215,7 @@
     pusher = Pusher(
         cfg.process.data_centre, ticket_replication, peers, fleet, channels, rng
     )
-    ticket_replication.listen(pusher.enqueue)
+    ticket_replication.add_listener(pusher.enqueue)
     entry = Entry(
         cfg,
         events,
@@ -233,7 +235,7 @@
 
 
 def _background_loops(entry: Entry) -> list:
-    run_every = repeating(entry.events)
+    run_every = periodic_with_events(entry.events)
     return [
         run_every(entry.cfg.platform.poll_seconds, entry.read_members),
         run_every(HEAD_POLL_INTERVAL_SECONDS, entry.poll_head),
--- a/packages/wasabideck_entry/wasabideck_entry/entry_settings.py
+++ b/packages/wasabideck_entry/wasabideck_entry/entry_settings.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from wasabideck_base.settings import EntrySettings
-from wasabideck_base.settings_checks import Wrong
+from wasabideck_base.settings_checks import InvalidCombination
 from wasabideck_base.settings_file import load_settings
-from wasabideck_policy.routing import POLICIES
+from wasabideck_policy.load_balancing import POLICIES
 
 __all__ = ["load_entry_settings"]
 
@@ -21,7 +21,9 @@
     return load_settings(path, EntrySettings, (_check_routing,))
 
 
-def _check_routing(cfg: EntrySettings) -> Wrong | None:
+def _check_routing(cfg: EntrySettings) -> InvalidCombination | None:
     if cfg.routing not in POLICIES:
-        return Wrong(("routing",), f"must be one of {', '.join(sorted(POLICIES))}")
+        return InvalidCombination(
+            ("routing",), f"must be one of {', '.join(sorted(POLICIES))}"
+        )
     return None
--- a/packages/wasabideck_entry/wasabideck_entry/fleet.py
+++ b/packages/wasabideck_entry/wasabideck_entry/fleet.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 
 from attrs import define, field
-from wasabideck_base.channels import LINK_FAILURES, Channels
+from wasabideck_base.channels import CALL_FAILURES, Channels
+from wasabideck_policy.load_balancing import ServerState
 from wasabideck_policy.membership import AGENT, ENTRY, Member
-from wasabideck_policy.observation import Observed, join
 from wasabideck_policy.outcomes import Answered, Outcome, Unknown
-from wasabideck_policy.outliers import Outliers
-from wasabideck_policy.routing import Server
+from wasabideck_policy.outliers import OutlierEjection
 from wasabideck_policy.subsets import OTHER_REGION, OWN_REGION, subset
+from wasabideck_policy.vm_state import VMState, merge_list
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.inner_grpc import PeersStub
 
@@ -50,19 +50,19 @@
     channels: Channels
     region: str = ""
     members: list[Member] = field(factory=list)
-    servers: dict[str, Server] = field(factory=dict)
+    servers: dict[str, ServerState] = field(factory=dict)
     status_replies: dict[str, pb.StatusReply] = field(factory=dict)
-    outliers: Outliers = field(factory=Outliers)
+    outliers: OutlierEjection = field(factory=OutlierEjection)
     servers_changed: asyncio.Event = field(factory=asyncio.Event)
     clock: Callable[[], float] = time.monotonic
-    _vm_states: dict[str, Observed] = field(factory=dict)
+    _vm_states: dict[str, VMState] = field(factory=dict)
     _cache_changes_seen: dict[str, int] = field(factory=dict)
 
     def update_members(self, members: list[Member]) -> None:
         """Apply a new list; the state of servers that remain listed is kept."""
         self.members = members
         agents = [m for m in members if m.kind == AGENT]
-        self._vm_states = join(self._vm_states, agents, self.clock())
+        self._vm_states = merge_list(self._vm_states, agents, self.clock())
         selected = self._select_servers()
         self.servers = {vm: self._server_of(vm) for vm in sorted(selected)}
         self.servers_changed.set()
@@ -74,7 +74,7 @@
         """Return the listed entries without this one."""
         return [m for m in self.members if m.kind == ENTRY and m.vm != self.vm]
 
-    def candidates(self, service: str, excluded: set[str]) -> list[Server]:
+    def candidates(self, service: str, excluded: set[str]) -> list[ServerState]:
         """Return the servers of a service that may be sent new requests."""
         usable = {
             s.vm: s
@@ -82,23 +82,23 @@
             if s.service == service and s.serving and not s.leaving
             if s.vm not in excluded
         }
-        healthy = self.outliers.sound(usable, self.clock())
+        healthy = self.outliers.healthy(usable, self.clock())
         return [server for vm, server in usable.items() if vm in healthy]
 
-    def observe(self, server: Server, outcome: Outcome) -> None:
+    def observe(self, server: ServerState, outcome: Outcome) -> None:
         """Record the outcome of an attempt on a server."""
         if isinstance(outcome, Answered):
-            self.outliers.succeeded(server.vm)
+            self.outliers.record_success(server.vm)
         elif outcome.failure.kind in SERVER_FAULT_KINDS:
-            self.outliers.failed(server.vm, self.clock())
+            self.outliers.record_failure(server.vm, self.clock())
         elif isinstance(outcome, Unknown) and outcome.crash:
-            self.outliers.failed(server.vm, self.clock())
+            self.outliers.record_failure(server.vm, self.clock())
 
     async def query_all(self) -> None:
         """Query the status of all servers concurrently."""
         await asyncio.gather(*(self.query(s) for s in self.servers.values()))
 
-    async def query(self, server: Server) -> bool:
+    async def query(self, server: ServerState) -> bool:
         """Query a server's status; return whether it responded."""
         reply = await self._request_status(server, STATUS_TIMEOUT_SECONDS)
         if reply is None:
@@ -114,20 +114,22 @@
         self.apply_status(server, reply)
         return True
 
-    def status_request(self, server: Server, interval: float = 0.0) -> pb.StatusRequest:
+    def status_request(
+        self, server: ServerState, interval: float = 0.0
+    ) -> pb.StatusRequest:
         """Return a status query; ``interval`` is in seconds, for a watch."""
         cache_changes = self._cache_changes_seen.get(server.vm, 0)
         return pb.StatusRequest(
             vm=self.vm, cache_changes=cache_changes, pause_ms=int(interval * 1000)
         )
 
-    def apply_status(self, server: Server, reply: pb.StatusReply) -> None:
+    def apply_status(self, server: ServerState, reply: pb.StatusReply) -> None:
         """Apply the status that a server reports."""
         now = self.clock()
         state = self._vm_states.get(server.vm)
         if state is None or reply.vm != server.vm:
             return
-        state.answered(reply.leaving, now)
+        state.record_response(reply.leaving, now)
         self.status_replies[server.vm] = reply
         server.serving = reply.serving
         server.leaving = state.leaving
@@ -144,15 +146,15 @@
             server.prefixes = list(reply.cached_prefixes)
 
     async def _request_status(
-        self, server: Server, timeout: float
+        self, server: ServerState, timeout: float
     ) -> pb.StatusReply | None:
         """Return a server's status; None if its connection failed and was dropped."""
         channel = self.channels.get(server.address)
         try:
             req = self.status_request(server)
             return await PeersStub(channel).Status(req, timeout=timeout)
-        except LINK_FAILURES:
-            self.channels.drop(server.address, channel)
+        except CALL_FAILURES:
+            self.channels.close_channel(server.address, channel)
             return None
 
     def _select_servers(self) -> set[str]:
@@ -171,12 +173,12 @@
                 selected |= subset(self.vm, all_entries, servers, OTHER_REGION)
         return selected
 
-    def _server_of(self, vm: str) -> Server:
+    def _server_of(self, vm: str) -> ServerState:
         state = self._vm_states[vm]
         member = state.member
         server = self.servers.get(vm)
         if server is None or server.address != member.address:
-            server = Server(
+            server = ServerState(
                 vm,
                 member.service,
                 member.address,
@@ -188,7 +190,9 @@
         return server
 
 
-def _update_clock_offset(server: Server, reply: pb.StatusReply, now: float) -> None:
+def _update_clock_offset(
+    server: ServerState, reply: pb.StatusReply, now: float
+) -> None:
     """Estimate how far the agent's clock is ahead of this one.
 
     A report that was delayed on its way makes the offset look smaller than it is, and
--- a/packages/wasabideck_entry/wasabideck_entry/listener.py
+++ b/packages/wasabideck_entry/wasabideck_entry/listener.py
@@ -15,9 +15,9 @@
 from sanic.server import AsyncioServer
 from wasabideck_base.addresses import split_address
 from wasabideck_base.metrics import Metrics, render_metrics
-from wasabideck_base.process import binding
+from wasabideck_base.process import convert_bind_errors
 from wasabideck_base.settings import EntrySettings
-from wasabideck_base.tls import Keys
+from wasabideck_base.tls import TlsContexts
 from wasabideck_policy.outcomes import WasabideckError
 from wasabideck_policy.tickets import MAX_TICKET_BYTES
 
@@ -53,7 +53,7 @@
     cfg: EntrySettings
     ready: Callable[[], bool]
     current_metrics: Callable[[], Metrics]
-    keys: Keys | None = None
+    keys: TlsContexts | None = None
 
 
 def make_app(options: HttpOptions) -> Sanic:
@@ -82,11 +82,11 @@
     sanic runs inside this event loop, since its worker manager would start processes.
     """
     address = options.cfg.process.http
-    with binding(address):
+    with convert_bind_errors(address):
         sock = socket.create_server(split_address(address))
     server = await app.create_server(
         sock=sock,
-        ssl=options.keys.http if options.keys else None,
+        ssl=options.keys.caller_server if options.keys else None,
         return_asyncio_server=True,
         access_log=False,
     )
--- a/packages/wasabideck_entry/wasabideck_entry/operator_client.py
+++ b/packages/wasabideck_entry/wasabideck_entry/operator_client.py
@@ -11,7 +11,7 @@
 import orjson
 from attrs import define
 from wasabideck_base.settings import AccessSettings
-from wasabideck_base.tls import client_context
+from wasabideck_base.tls import operator_client_context
 from wasabideck_policy.outcomes import WasabideckError
 from wasabideck_policy.tickets import MAX_TICKET_BYTES, TicketError
 
@@ -93,7 +93,7 @@
         if self.cfg.plain_text:
             return True
         try:
-            return client_context(self.cfg.authority)
+            return operator_client_context(self.cfg.authority)
         except OSError as exc:
             why = f"{self.cfg.authority}: {exc}; nothing was sent"
             raise EntryRefused(why) from exc
--- a/packages/wasabideck_entry/wasabideck_entry/operators.py
+++ b/packages/wasabideck_entry/wasabideck_entry/operators.py
@@ -10,14 +10,14 @@
 from attrs import asdict, define
 from sanic import HTTPResponse, Request, Sanic
 from wasabideck_base.events import Events
-from wasabideck_base.spread import Spread
 from wasabideck_base.table import Table
+from wasabideck_base.ticket_replication import TicketReplication
 from wasabideck_base.ticket_store import (
-    Accepted,
+    AcceptedTicket,
     accept_ticket,
-    assignments_of,
+    assignments_from_ticket,
     list_tickets,
-    settle_ticket,
+    resolve_acceptance,
 )
 from wasabideck_policy.outcomes import WasabideckError
 from wasabideck_policy.tickets import MAX_TICKET_BYTES, TicketError, parse_ticket
@@ -44,7 +44,7 @@
     """Components that the operators' routes use."""
 
     table: Table
-    ticket_replication: Spread
+    ticket_replication: TicketReplication
     fleet: Fleet
     pusher: Pusher
     events: Events
@@ -62,14 +62,14 @@
         ticket = parse_ticket(table, source)
         accepted = await accept_ticket(self.table, ticket, operator, time.time())
         self.events.emit("ticket.accepted", ticket=ticket.number, operator=operator)
-        changes = assignments_of(accepted)
+        changes = assignments_from_ticket(accepted)
         self.ticket_replication.merge(changes)
         await self.pusher.push_until_received(changes)
         return _ticket_object(accepted)
 
     async def show(self, number: int) -> dict:
         """Return an accepted ticket; raise ``TicketUnheard`` if it certainly is not."""
-        accepted = await settle_ticket(self.table, number)
+        accepted = await resolve_acceptance(self.table, number)
         if accepted is None:
             raise TicketUnheard(number)
         return _ticket_object(accepted)
@@ -132,8 +132,8 @@
     route("GET", "/v1/fleet", fleet)
 
 
-def _ticket_object(accepted: Accepted) -> dict:
+def _ticket_object(accepted: AcceptedTicket) -> dict:
     row = asdict(accepted.ticket)
     row["sequence"] = accepted.sequence
-    row["again"] = accepted.again
+    row["again"] = accepted.already_accepted
     return row
--- a/packages/wasabideck_entry/wasabideck_entry/picture.py
+++ b/packages/wasabideck_entry/wasabideck_entry/picture.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 from attrs import frozen
-from wasabideck_base.events import MICROS, Stamp
-from wasabideck_base.vocabulary import CAUSES, KINDS
+from wasabideck_base.event_kinds import CAUSE_FIELDS, EVENT_KINDS
+from wasabideck_base.events import MICROS_PER_SECOND, Timestamp
 
 from .timeline import EventsUnreadable, format_fields, merge_events
 
@@ -71,11 +71,11 @@
     shapes = [_lane(vm, i, width) for i, vm in enumerate(vms)]
     shapes += _cause_lines(points)
     shapes += [_circle(point) for point in points]
-    micros = [Stamp.parse(event["hlc"]).micros for event in events] or [0]
+    micros = [Timestamp.parse(event["hlc"]).micros for event in events] or [0]
     return PAGE_TEMPLATE.format(
         count=len(events),
         vms=len(vms),
-        seconds=(micros[-1] - micros[0]) / MICROS,
+        seconds=(micros[-1] - micros[0]) / MICROS_PER_SECOND,
         width=round(width),
         height=TOP_PIXELS + LANE_PIXELS * (len(vms) + 1),
         shapes="\n".join(shapes),
@@ -86,7 +86,7 @@
     """Return the events' positions: by time, in order, and a minimum distance apart."""
     if not events:
         return []
-    micros = [Stamp.parse(event["hlc"]).micros for event in events]
+    micros = [Timestamp.parse(event["hlc"]).micros for event in events]
     scale = (MIN_WIDTH_PIXELS - LEFT_PIXELS) / max(1, micros[-1] - micros[0])
     points: list[_Point] = []
     x = LEFT_PIXELS - MIN_DISTANCE_PIXELS
@@ -118,7 +118,7 @@
     latest: dict[tuple[str, str], _Point] = {}
     lines = []
     for point in points:
-        for name in CAUSES:
+        for name in CAUSE_FIELDS:
             if name not in point.event:
                 continue
             cause = (name, str(point.event[name]))
@@ -134,7 +134,7 @@
 
 def _circle(point: _Point) -> str:
     kind = point.event["message_type"]
-    alarm = kind in KINDS and KINDS[kind].todo
+    alarm = kind in EVENT_KINDS and EVENT_KINDS[kind].operator_action
     style = ' class="alarm"' if alarm else ""
     title = escape(f"{point.event['hlc']} {kind} {format_fields(point.event)}")
     return (
--- a/packages/wasabideck_entry/wasabideck_entry/pushes.py
+++ b/packages/wasabideck_entry/wasabideck_entry/pushes.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 
 from attrs import define, field
-from wasabideck_base.channels import LINK_FAILURES, Channels
-from wasabideck_base.spread import PeersService, Spread
-from wasabideck_policy.membership import tell
+from wasabideck_base.channels import CALL_FAILURES, Channels
+from wasabideck_base.ticket_replication import PeersService, TicketReplication
+from wasabideck_policy.membership import push_targets
 from wasabideck_policy.tickets import Assignment
 
 from .fleet import Fleet
@@ -26,7 +26,7 @@
     """
 
     data_centre: str
-    ticket_replication: Spread
+    ticket_replication: TicketReplication
     peers: PeersService
     fleet: Fleet
     channels: Channels
@@ -65,12 +65,14 @@
                 return
 
     def _entry_addresses(self) -> list[str]:
-        members = tell(self.fleet.vm, self.data_centre, self.fleet.members, self.rng)
+        members = push_targets(
+            self.fleet.vm, self.data_centre, self.fleet.members, self.rng
+        )
         return [member.address for member in members]
 
     def _agent_addresses(self) -> list[str]:
         servers = self.fleet.servers
-        watching_vms = sorted(self.peers.watchers())
+        watching_vms = sorted(self.peers.recent_sync_vms())
         return [servers[vm].address for vm in watching_vms if vm in servers]
 
     def _start_pushes(
@@ -87,7 +89,7 @@
     async def _push(self, address: str, changes: list[Assignment]) -> bool:
         try:
             await self.ticket_replication.push(self.channels.get(address), changes)
-        except LINK_FAILURES:
-            self.channels.drop(address)
+        except CALL_FAILURES:
+            self.channels.close_channel(address)
             return False
         return True
--- a/packages/wasabideck_entry/wasabideck_entry/resolve.py
+++ b/packages/wasabideck_entry/wasabideck_entry/resolve.py
@@ -3,8 +3,12 @@
 from __future__ import annotations
 
 from attrs import define, frozen
-from wasabideck_base.claim_rows import claim_write, read_claim, stored_answer
-from wasabideck_base.http_answers import PlatformRefused, PlatformUnavailable
+from wasabideck_base.claim_rows import (
+    conditional_claim_write,
+    read_claim,
+    stored_response,
+)
+from wasabideck_base.http_responses import PlatformRefused, PlatformUnavailable
 from wasabideck_base.table import Table
 from wasabideck_policy.claims import DONE, RELEASED, RUNNING, Claim
 from wasabideck_policy.outcomes import Answered, Failure, NotRun, Outcome
@@ -54,7 +58,7 @@
         return None
 
     async def _write_bar(self, stored: Claim | None, claim: Claim) -> bool:
-        check, write = claim_write(stored, claim)
+        check, write = conditional_claim_write(stored, claim)
         return await self.table.transact([check], [write]) is None
 
 
@@ -70,4 +74,4 @@
 def _resolve_done(claim: Claim, stored: Claim) -> Resolved | None:
     if stored.body_digest != claim.body_digest:
         return None
-    return Resolved(Answered(replayed=True), stored_answer(stored))
+    return Resolved(Answered(replayed=True), stored_response(stored))
--- a/packages/wasabideck_entry/wasabideck_entry/streams.py
+++ b/packages/wasabideck_entry/wasabideck_entry/streams.py
@@ -8,13 +8,13 @@
 
 from attrs import define, field
 from grpclib.client import Channel
-from wasabideck_base.channels import LINK_FAILURES, Channels
+from wasabideck_base.channels import CALL_FAILURES, Channels
 from wasabideck_base.events import Events
-from wasabideck_policy.arrivals import ARRIVAL_SECONDS
+from wasabideck_policy.attempt_registry import MAX_REQUEST_AGE_SECONDS
+from wasabideck_policy.load_balancing import ServerState
 from wasabideck_policy.outcomes import Failure, NotRun, Outcome, Unknown
-from wasabideck_policy.routing import Server
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.convert import final_from
+from wasabideck_wire.convert import outcome_to_final
 from wasabideck_wire.inner_grpc import RunsStub
 
 from .resolve import Resolved
@@ -49,7 +49,7 @@
         outcome cannot be known.
     """
 
-    server: Server
+    server: ServerState
     req: pb.RunRequest
     deadline: float
     channels: Channels
@@ -66,7 +66,9 @@
 
     def __attrs_post_init__(self) -> None:
         """Set the agent process that the attempt is for and its latest arrival time."""
-        self._latest_arrival = self.clock() + self.server.clock_ahead + ARRIVAL_SECONDS
+        self._latest_arrival = (
+            self.clock() + self.server.clock_ahead + MAX_REQUEST_AGE_SECONDS
+        )
         self.req.incarnation = self.server.incarnation
         self.req.not_after_ms = int(self._latest_arrival * 1000)
 
@@ -88,7 +90,7 @@
             except ConnectionRefusedError as exc:
                 if outcome := self._refused_outcome(exc):
                     break
-            except LINK_FAILURES as exc:
+            except CALL_FAILURES as exc:
                 self._record_failed_connection(channel, exc)
                 if (
                     self._failed_connections >= MAX_FAILED_CONNECTIONS
@@ -141,8 +143,8 @@
         )
         try:
             reply = await RunsStub(channel).Cancel(req, timeout=CANCEL_TIMEOUT_SECONDS)
-        except LINK_FAILURES:
-            self.channels.drop(self.server.address, channel)
+        except CALL_FAILURES:
+            self.channels.close_channel(self.server.address, channel)
             return False
         return reply.not_run
 
@@ -172,10 +174,10 @@
                     yield event
                     if event.HasField("final"):
                         return
-            except LINK_FAILURES:
+            except CALL_FAILURES:
                 # The connection is dropped before the stream's context ends: its end
                 # would block on writing a reset to a connection that accepts no data.
-                self.channels.drop(self.server.address, channel)
+                self.channels.close_channel(self.server.address, channel)
                 raise
 
     def _resume_request(self) -> pb.ResumeRequest:
@@ -202,7 +204,7 @@
 
     def _record_failed_connection(self, channel: Channel, exc: BaseException) -> None:
         self._failed_connections += 1
-        self.channels.drop(self.server.address, channel)
+        self.channels.close_channel(self.server.address, channel)
         self.events.emit(
             "attempt.resumed",
             attempt=self.req.attempt,
@@ -212,4 +214,4 @@
 
 
 def _final_event(offset: int, outcome: Outcome) -> pb.RunEvent:
-    return pb.RunEvent(offset=offset, final=final_from(outcome))
+    return pb.RunEvent(offset=offset, final=outcome_to_final(outcome))
--- a/packages/wasabideck_entry/wasabideck_entry/suspects.py
+++ b/packages/wasabideck_entry/wasabideck_entry/suspects.py
@@ -8,10 +8,10 @@
 from typing import TYPE_CHECKING
 
 from attrs import define, field
+from wasabideck_policy.load_balancing import ServerState
 from wasabideck_policy.outcomes import Outcome, Unknown
 from wasabideck_policy.quarantine import Quarantine, fingerprint
-from wasabideck_policy.rendezvous import rank
-from wasabideck_policy.routing import Server
+from wasabideck_policy.rendezvous import rank_vms
 
 if TYPE_CHECKING:
     from .calls import Call
@@ -45,15 +45,15 @@
 
     def is_quarantined(self, request_fingerprint: str) -> bool:
         """Whether the request is refused on every server."""
-        return self.quarantine.refused(request_fingerprint, self.wall())
+        return self.quarantine.is_quarantined(request_fingerprint, self.wall())
 
     def must_run_alone(self, request_fingerprint: str) -> bool:
         """Whether the request may run only on a server without other requests."""
-        return self.quarantine.alone(request_fingerprint, self.wall())
+        return self.quarantine.must_run_alone(request_fingerprint, self.wall())
 
     def eligible_servers(
-        self, request_fingerprint: str, servers: list[Server]
-    ) -> list[Server]:
+        self, request_fingerprint: str, servers: list[ServerState]
+    ) -> list[ServerState]:
         """Return the servers that the request may be sent to.
 
         A suspected request may be sent to one server only. All entries choose the same
@@ -62,15 +62,15 @@
         """
         if not servers or not self.must_run_alone(request_fingerprint):
             return servers
-        crashed = self.quarantine.servers(request_fingerprint, self.wall())
+        crashed = self.quarantine.crashed_vms(request_fingerprint, self.wall())
         by_vm = {s.vm: s for s in servers if s.vm not in crashed}
-        return [by_vm[rank(request_fingerprint, by_vm)[0]]] if by_vm else []
+        return [by_vm[rank_vms(request_fingerprint, by_vm)[0]]] if by_vm else []
 
     async def record_outcome(self, request_fingerprint: str, outcome: Outcome) -> None:
         """Record an outcome; notify the other entries of a crash before any retry."""
         if not isinstance(outcome, Unknown) or not outcome.crash:
             return
-        self.quarantine.record(request_fingerprint, outcome.crash, self.wall())
+        self.quarantine.record_crash(request_fingerprint, outcome.crash, self.wall())
         try:
             async with asyncio.timeout(NOTIFY_TIMEOUT_SECONDS):
                 await self.notify_entries()
--- a/packages/wasabideck_entry/wasabideck_entry/timeline.py
+++ b/packages/wasabideck_entry/wasabideck_entry/timeline.py
@@ -9,7 +9,7 @@
 
 import orjson
 from attrs import define, field
-from wasabideck_base.events import MICROS, Stamp
+from wasabideck_base.events import MICROS_PER_SECOND, Timestamp
 from wasabideck_policy.outcomes import WasabideckError
 
 __all__ = [
@@ -54,7 +54,7 @@
     merged = Timeline()
     for file in files:
         _read_file(file, merged)
-    merged.events.sort(key=lambda event: (Stamp.parse(event["hlc"]), event["vm"]))
+    merged.events.sort(key=lambda event: (Timestamp.parse(event["hlc"]), event["vm"]))
     return merged
 
 
@@ -83,7 +83,7 @@
             event = orjson.loads(line)
             if "message_type" in event and "hlc" not in event:
                 continue  # a message of a library, which has no timestamp
-            Stamp.parse(event["hlc"])
+            Timestamp.parse(event["hlc"])
             valid = isinstance(event["vm"], str)
             valid = valid and isinstance(event["message_type"], str)
         except (ValueError, TypeError, KeyError):
@@ -95,8 +95,10 @@
 
 
 def _event_line(event: dict) -> str:
-    stamp = Stamp.parse(event["hlc"])
-    time = datetime.fromtimestamp(stamp.micros / MICROS, UTC).strftime("%H:%M:%S.%f")
+    stamp = Timestamp.parse(event["hlc"])
+    time = datetime.fromtimestamp(stamp.micros / MICROS_PER_SECOND, UTC).strftime(
+        "%H:%M:%S.%f"
+    )
     time_label = f"{time}+{stamp.counter}"
     return (
         f"{time_label:<18} {event['vm']:<12} {event['message_type']:<18} "
--- a/packages/wasabideck_entry/wasabideck_entry/watching.py
+++ b/packages/wasabideck_entry/wasabideck_entry/watching.py
@@ -12,9 +12,9 @@
 import random
 
 from attrs import define, field
-from wasabideck_base.channels import LINK_FAILURES
-from wasabideck_policy.routing import Server
-from wasabideck_policy.subsets import poll_pause
+from wasabideck_base.channels import CALL_FAILURES
+from wasabideck_policy.load_balancing import ServerState
+from wasabideck_policy.subsets import poll_interval
 from wasabideck_wire.inner_grpc import PeersStub
 
 from .fleet import STATUS_TIMEOUT_SECONDS, Fleet
@@ -33,7 +33,7 @@
 
     fleet: Fleet
     rng: random.Random
-    _watches: dict[str, tuple[Server, asyncio.Task]] = field(factory=dict)
+    _watches: dict[str, tuple[ServerState, asyncio.Task]] = field(factory=dict)
 
     async def run(self) -> None:
         """Start and end watches as servers are added and removed, until cancelled."""
@@ -62,7 +62,7 @@
                 task = asyncio.create_task(self._watch(server))
                 self._watches[vm] = server, task
 
-    async def _watch(self, server: Server) -> None:
+    async def _watch(self, server: ServerState) -> None:
         # All watches start with the entry. The random delay spreads their reports:
         # otherwise all of them would arrive at the same time in each interval, for as
         # long as the entry runs.
@@ -81,7 +81,7 @@
                 )
                 failures += 1
 
-    async def _receive_reports(self, server: Server) -> None:
+    async def _receive_reports(self, server: ServerState) -> None:
         """Apply a server's reports until its stream fails or delivers nothing."""
         channel = self.fleet.channels.get(server.address)
         interval = self._report_interval()
@@ -96,11 +96,11 @@
                     if reply is None:
                         return
                     self.fleet.apply_status(server, reply)
-        except LINK_FAILURES:
-            self.fleet.channels.drop(server.address, channel)
+        except CALL_FAILURES:
+            self.fleet.channels.close_channel(server.address, channel)
 
     def _report_interval(self) -> float:
-        return poll_pause(len(self.fleet.servers))
+        return poll_interval(len(self.fleet.servers))
 
 
 def _backoff_seconds(failures: int) -> float:
--- a/packages/wasabideck_forward/wasabideck_forward/attempts.py
+++ b/packages/wasabideck_forward/wasabideck_forward/attempts.py
@@ -7,13 +7,13 @@
 
 from attrs import define, field
 from wasabideck_policy.backends import Backend
-from wasabideck_policy.beliefs import Beliefs
+from wasabideck_policy.cluster_state import ClusterState
 
-from .dispatch import Dispatch
+from .dispatcher import Dispatcher
 from .exchange import Exchange
-from .messages import Sending, Wire
+from .http_heads import HeadCodec, RequestParameters
 from .recall import InFlightRequest, InFlightRequests
-from .server_connection import Answer, ServerConnection
+from .server_connection import ServerConnection, ServerResponse
 from .server_pool import ServerPool, Unreachable
 
 __all__ = ["Attempt", "Attempts"]
@@ -35,7 +35,7 @@
     exchange: Exchange
     backend: Backend
     conn: ServerConnection
-    response: Answer
+    response: ServerResponse
     in_flight_request: InFlightRequest | None
 
 
@@ -44,8 +44,8 @@
     """Starts attempts and ends them."""
 
     pool: ServerPool
-    wire: Wire
-    dispatch: Dispatch
+    wire: HeadCodec
+    dispatch: Dispatcher
     in_flight: InFlightRequests = field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -53,8 +53,8 @@
         self.in_flight = InFlightRequests(self._beliefs)
 
     @property
-    def _beliefs(self) -> Beliefs:
-        return self.dispatch.beliefs
+    def _beliefs(self) -> ClusterState:
+        return self.dispatch.cluster_state
 
     @property
     def _clock(self) -> Callable[[], float]:
@@ -63,17 +63,19 @@
     async def start(self, exchange: Exchange, backend: Backend) -> Attempt:
         """Send a request to a server; raises ``Unreachable``."""
         exchange.tried_servers.append(backend.server)
-        backend.begin(self._clock())
-        backend.unread.add(exchange)
+        backend.add_request(self._clock())
+        backend.unread_prompts.add(exchange)
         conn = None
         try:
             connect_timeout = self.dispatch.connect_timeout(exchange, backend)
-            conn = await self.pool.take(
+            conn = await self.pool.acquire(
                 backend, exchange.route.idempotent, connect_timeout
             )
             # Connecting takes up to 0.3 s, and the server may start to drain or be
             # removed meanwhile: a request would reach it too late.
-            if not self._beliefs.backends.may_get(backend.server, self._clock()):
+            if not self._beliefs.backends.accepts_requests(
+                backend.server, self._clock()
+            ):
                 raise Unreachable(backend.server, "draining or removed meanwhile")
             return self._send(exchange, backend, conn)
         except BaseException:
@@ -87,14 +89,16 @@
         self._release(attempt.exchange, attempt.backend)
         self.in_flight.discard(attempt.in_flight_request)
         if answered:
-            self.pool.give_back(attempt.backend, attempt.conn)
+            self.pool.release(attempt.backend, attempt.conn)
         else:
             attempt.conn.close()
 
     def _send(
         self, exchange: Exchange, backend: Backend, conn: ServerConnection
     ) -> Attempt:
-        response = Answer(exchange.req.head.request, exchange.req.method == b"HEAD")
+        response = ServerResponse(
+            exchange.req.head.request_id, exchange.req.method == b"HEAD"
+        )
         may_resume_elsewhere = partial(self.dispatch.may_resume_elsewhere, exchange)
         in_flight_request = exchange.engine and InFlightRequest(
             response, backend, exchange.engine, may_resume_elsewhere
@@ -109,7 +113,7 @@
 
     def _release(self, exchange: Exchange, backend: Backend) -> None:
         backend.in_progress -= 1
-        backend.unread.discard(exchange)
+        backend.unread_prompts.discard(exchange)
 
     def _message(self, exchange: Exchange, backend: Backend) -> bytes:
         now = self._clock()
@@ -120,23 +124,24 @@
         # the lowest one allowed.
         min_version = self.dispatch.min_version(exchange, now)
         version = max(min_version, exchange.weights_version) if min_version else 0
-        sending = Sending(
+        sending = RequestParameters(
             server=backend.server,
-            left=time_left,
+            seconds_left=time_left,
             organisation=exchange.organisation,
-            last_event=exchange.delivered.last_event_id or exchange.req.head.last_event,
+            last_event_id=exchange.delivered.last_event_id
+            or exchange.req.head.last_event_id,
             version=version,
             priority=exchange.urgency,
         )
-        return self.wire.write_request(exchange.req, sending) + exchange.req.body
+        return self.wire.format_request_head(exchange.req, sending) + exchange.req.body
 
     def _record_weights(self, exchange: Exchange, backend: Backend) -> None:
         """Record for the log which weights the server was known to hold at sending."""
         if exchange.engine is None:
             return
         model, now = exchange.engine.model, self._clock()
-        held_version = backend.holds(model, exchange.engine.layers, now)
-        max_age_seconds = self.dispatch.bounds.version_seconds
-        over_at = self._beliefs.over_at(model, held_version, max_age_seconds)
+        held_version = backend.loaded_version(model, exchange.engine.layers, now)
+        max_age_seconds = self.dispatch.limits.max_send_age_seconds
+        over_at = self._beliefs.expires_at(model, held_version, max_age_seconds)
         exchange.weights_version = held_version
         exchange.weights_expire_in = None if over_at is None else over_at - now
--- a/packages/wasabideck_forward/wasabideck_forward/caller_connection.py
+++ b/packages/wasabideck_forward/wasabideck_forward/caller_connection.py
@@ -13,7 +13,7 @@
 from wasabideck_policy.configuration import CallerLimits
 
 from .early_callers import EarlyCallers
-from .messages import CallerRequest, Wire, header_of
+from .http_heads import CallerRequest, HeadCodec, first_header
 
 __all__ = ["CallerConnection", "CallerEndpoint"]
 
@@ -42,7 +42,7 @@
         Callers that connected while this process was starting.
     """
 
-    wire: Wire
+    wire: HeadCodec
     clock: Callable[[], float]
     limits: Callable[[], CallerLimits]
     serve: Callable[[CallerRequest, CallerConnection], object]
@@ -63,7 +63,7 @@
 
     Attributes
     ----------
-    begun : bool
+    head_written : bool
         Whether the head of the current response has been written.
     """
 
@@ -85,7 +85,7 @@
         self._keep_alive = True
         self._http10 = False
         self._rejected = False
-        self.begun = False
+        self.head_written = False
 
     # asyncio.Protocol
 
@@ -134,7 +134,10 @@
             self._reject(400, "UpgradeNotOffered")
         except httptools.HttpParserError:
             self._reject(400, "MalformedRequest")
-        if self._in_headers and self._head_bytes > self._endpoint.limits().header_bytes:
+        if (
+            self._in_headers
+            and self._head_bytes > self._endpoint.limits().max_header_bytes
+        ):
             self._reject(431, "HeadersTooLarge")
 
     # Callbacks of the parser
@@ -161,22 +164,22 @@
         self._head_bytes = 0
         size = sum(len(name) + len(value) + 4 for name, value in self._headers)
         limits = self._endpoint.limits()
-        if size + len(self._target) > limits.header_bytes:
+        if size + len(self._target) > limits.max_header_bytes:
             self._reject(431, "HeadersTooLarge")
             return
-        length = header_of(self._headers, b"content-length")
-        if length.isdigit() and int(length) > limits.body_bytes:
+        length = first_header(self._headers, b"content-length")
+        if length.isdigit() and int(length) > limits.max_body_bytes:
             self._reject(413, "BodyTooLarge")
             return
         expects_continue = (
-            header_of(self._headers, b"expect").lower() == b"100-continue"
+            first_header(self._headers, b"expect").lower() == b"100-continue"
         )
         if expects_continue and self._task is None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:  # noqa: D102
         self._body_bytes += len(data)
-        if self._body_bytes > self._endpoint.limits().body_bytes:
+        if self._body_bytes > self._endpoint.limits().max_body_bytes:
             self._reject(413, "BodyTooLarge")
             return
         self._body_parts.append(data)
@@ -188,8 +191,8 @@
             method=self._parser.get_method(),
             target=self._target,
             headers=self._headers,
-            head=self._endpoint.wire.read_request(self._headers),
-            arrived=self._arrival_time(),
+            head=self._endpoint.wire.parse_request_head(self._headers),
+            arrived_at=self._arrival_time(),
             keep_alive=self._parser.should_keep_alive(),
             http10=self._parser.get_http_version() == "1.0",
             body=b"".join(self._body_parts),
@@ -223,7 +226,7 @@
         last: bool = False,
     ) -> None:
         """Write the head of the current response, chunked if its length is None."""
-        self.begun = True
+        self.head_written = True
         self._keep_alive = self._keep_alive and not last and not self._endpoint.draining
         lines = [b"HTTP/1.1 %d %s" % (status, _reason_phrase(status))]
         lines += [name + b": " + value for name, value in headers]
@@ -250,12 +253,12 @@
         if not self._writable.is_set():
             await self._writable.wait()
 
-    def end(self) -> None:
+    def end_response(self) -> None:
         """End the current response as complete."""
         if self._chunked:
             self._transport.write(b"0\r\n\r\n")
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Close in the middle of a response, so that it does not look complete."""
         self._keep_alive = False
         self._transport.close()
@@ -265,14 +268,20 @@
         if self._task is not None:
             return
         if self._reading_since is not None:
-            if self._in_headers and now - self._reading_since > limits.header_seconds:
+            if (
+                self._in_headers
+                and now - self._reading_since > limits.header_timeout_seconds
+            ):
                 self._reject(408, "HeadersTooSlow")
             return
         idle = now - self._idle_since
-        if self._endpoint.draining or idle > limits.idle_seconds + IDLE_GRACE_SECONDS:
+        if (
+            self._endpoint.draining
+            or idle > limits.idle_timeout_seconds + IDLE_GRACE_SECONDS
+        ):
             self._transport.close()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the caller has closed, even if the loop has not processed it yet.
 
         A loop that is behind runs its timers before it reads. The timer for an
@@ -295,7 +304,7 @@
     def _serve_next(self) -> None:
         req = self._pipelined.popleft()
         self._transport.resume_reading()
-        self.begun = False
+        self.head_written = False
         self._keep_alive = req.keep_alive
         self._http10 = req.http10
         self._task = asyncio.create_task(self._endpoint.serve(req, self))
--- a/packages/wasabideck_forward/wasabideck_forward/crash_watch.py
+++ b/packages/wasabideck_forward/wasabideck_forward/crash_detector.py
@@ -12,7 +12,7 @@
 
 from .exchange import Exchange
 
-__all__ = ["CrashWatch"]
+__all__ = ["CrashDetector"]
 
 # A running server accepts a connection within two round trips, 12 ms between regions.
 # The machine of a crashed one refuses it as quickly.
@@ -20,7 +20,7 @@
 
 
 @define
-class CrashWatch:
+class CrashDetector:
     """Detects servers that crashed during a request, and counts the crashes.
 
     A request that crashes any server that runs it is retried through any entry, and
@@ -46,7 +46,7 @@
 
     def is_quarantined(self, exchange: Exchange) -> bool:
         """Whether a request has crashed too many servers to be run again."""
-        return self.quarantine.refused(_fingerprint(exchange), self.wall_clock())
+        return self.quarantine.is_quarantined(_fingerprint(exchange), self.wall_clock())
 
     def connection_failed(self, exchange: Exchange, backend: Backend) -> None:
         """Probe a server whose connection failed during a request."""
@@ -70,8 +70,10 @@
         )
         now = self.wall_clock()
         for request_fingerprint in fingerprints:
-            self.quarantine.record(
-                request_fingerprint, f"{backend.server}/{backend.listed.born}", now
+            self.quarantine.record_crash(
+                request_fingerprint,
+                f"{backend.server}/{backend.listed.started_at_ms}",
+                now,
             )
 
 
--- a/packages/wasabideck_forward/wasabideck_forward/delivery.py
+++ b/packages/wasabideck_forward/wasabideck_forward/delivery.py
@@ -15,9 +15,9 @@
 from .caller_connection import CallerConnection
 from .event_stream import Event, EventSplitter, EventTooLong
 from .exchange import DeliveryProgress, Exchange
-from .messages import AnswerHead, header_of, passed_on
-from .server_connection import Answer, AnswerBroken, LeaveAsked
-from .takeover import wait_ignoring_leave
+from .hedging import wait_ignoring_leave
+from .http_heads import ResponseHead, end_to_end_headers, first_header
+from .server_connection import AnswerBroken, FailoverRequested, ServerResponse
 
 __all__ = [
     "ResponseMonitor",
@@ -79,22 +79,22 @@
 
     backend: Backend
     clock: Callable[[], float]
-    accept_head: Callable[[AnswerHead], None]
+    accept_head: Callable[[ResponseHead], None]
     wait_or_hedge: Callable[[Callable[[], Awaitable], bool], Awaitable]
     link_unresponsive: Callable[[], bool]
     link_timeout: float
 
 
 async def usable_head(
-    exchange: Exchange, response: Answer, monitor: ResponseMonitor
-) -> AnswerHead:
+    exchange: Exchange, response: ServerResponse, monitor: ResponseMonitor
+) -> ResponseHead:
     """Return a usable response's head; raises ``Replaced`` or ``ServerFailed``.
 
-    The failures of ``Answer`` are raised too.
+    The failures of ``ServerResponse`` are raised too.
     """
 
-    async def read_head() -> AnswerHead:
-        head = await response.headers()
+    async def read_head() -> ResponseHead:
+        head = await response.read_head()
         monitor.accept_head(head)
         return head
 
@@ -102,7 +102,7 @@
 
 
 async def wait_for_start(
-    exchange: Exchange, response: Answer, monitor: ResponseMonitor
+    exchange: Exchange, response: ServerResponse, monitor: ResponseMonitor
 ) -> None:
     """Wait until a response starts that can be passed on; raises as ``usable_head``.
 
@@ -112,12 +112,12 @@
     head = await usable_head(exchange, response, monitor)
     if exchange.delivered.event_count and not _is_event_stream(head):
         raise ServerFailed(head.status, refused=False)
-    last_event_id = exchange.delivered.last_event_id or exchange.req.head.last_event
+    last_event_id = exchange.delivered.last_event_id or exchange.req.head.last_event_id
     is_enough = (
         partial(_has_next_event, last_event_id) if _is_event_stream(head) else bool
     )
     received = await _wait_for_response(
-        exchange, partial(response.arrived, is_enough), monitor
+        exchange, partial(response.peek, is_enough), monitor
     )
     if received and response.ended and not is_enough(received):
         raise AnswerBroken("the stream ended within its first event")
@@ -143,8 +143,8 @@
 
 async def deliver(
     exchange: Exchange,
-    head: AnswerHead,
-    response: Answer,
+    head: ResponseHead,
+    response: ServerResponse,
     monitor: ResponseMonitor,
     caller: CallerConnection,
     on_first_event: Callable[[float], None],
@@ -168,7 +168,10 @@
 
 
 async def _deliver_plain(
-    exchange: Exchange, head: AnswerHead, response: Answer, caller: CallerConnection
+    exchange: Exchange,
+    head: ResponseHead,
+    response: ServerResponse,
+    caller: CallerConnection,
 ) -> None:
     body, complete = await _read_buffered(response)
     if not complete:
@@ -180,7 +183,7 @@
     await write_response(caller, head, body)
 
 
-async def _read_buffered(response: Answer) -> tuple[bytes, bool]:
+async def _read_buffered(response: ServerResponse) -> tuple[bytes, bool]:
     """Return the body up to the buffer limit, and whether it is complete."""
     body = bytearray()
     while part := await response.read():
@@ -190,48 +193,51 @@
     return bytes(body), True
 
 
-def _is_event_stream(head: AnswerHead) -> bool:
+def _is_event_stream(head: ResponseHead) -> bool:
     """Whether a response is a stream of events."""
-    kind = header_of(head.headers, b"content-type")
+    kind = first_header(head.headers, b"content-type")
     return head.status < 300 and kind.startswith(b"text/event-stream")
 
 
 async def _stream_plain(
-    head: AnswerHead, buffered: bytes, response: Answer, caller: CallerConnection
+    head: ResponseHead,
+    buffered: bytes,
+    response: ServerResponse,
+    caller: CallerConnection,
 ) -> None:
-    length = header_of(head.headers, b"content-length")
+    length = first_header(head.headers, b"content-length")
     size = int(length) if length.isdigit() else None
-    caller.write_head(head.status, passed_on(head.headers), size)
+    caller.write_head(head.status, end_to_end_headers(head.headers), size)
     await caller.write_body(buffered)
     while part := await response.read():
         await caller.write_body(part)
-    caller.end()
+    caller.end_response()
 
 
 async def write_response(
-    caller: CallerConnection, head: AnswerHead, body: bytes
+    caller: CallerConnection, head: ResponseHead, body: bytes
 ) -> None:
     """Write a server's complete response, unchanged."""
     length = len(body)
-    if not body and header_of(head.headers, b"content-length").isdigit():
+    if not body and first_header(head.headers, b"content-length").isdigit():
         # The response to HEAD states the length of the body that it omits.
-        length = int(header_of(head.headers, b"content-length"))
-    caller.write_head(head.status, passed_on(head.headers), length)
+        length = int(first_header(head.headers, b"content-length"))
+    caller.write_head(head.status, end_to_end_headers(head.headers), length)
     await caller.write_body(body)
-    caller.end()
+    caller.end_response()
 
 
 async def _deliver_events(
     exchange: Exchange,
-    head: AnswerHead,
-    response: Answer,
+    head: ResponseHead,
+    response: ServerResponse,
     monitor: ResponseMonitor,
     caller: CallerConnection,
     on_first_event: Callable[[float], None],
 ) -> None:
     delivered = exchange.delivered
-    delivered.splitter.restart()
-    last_event_id = delivered.last_event_id or exchange.req.head.last_event
+    delivered.splitter.discard_partial()
+    last_event_id = delivered.last_event_id or exchange.req.head.last_event_id
     awaiting_first = True
     while True:
         data = await _next_bytes(exchange, response, monitor, awaiting_first)
@@ -246,9 +252,9 @@
             await _write_events(delivered, head, events, caller)
     if delivered.splitter.partial:
         raise AnswerBroken("the stream ended within an event")
-    if not caller.begun:
-        caller.write_head(head.status, passed_on(head.headers), None)
-    caller.end()
+    if not caller.head_written:
+        caller.write_head(head.status, end_to_end_headers(head.headers), None)
+    caller.end_response()
 
 
 def _feed_events(splitter: EventSplitter, data: bytes) -> list[Event]:
@@ -260,7 +266,10 @@
 
 
 async def _next_bytes(
-    exchange: Exchange, response: Answer, monitor: ResponseMonitor, awaiting_first: bool
+    exchange: Exchange,
+    response: ServerResponse,
+    monitor: ResponseMonitor,
+    awaiting_first: bool,
 ) -> bytes:
     if not exchange.may_use_another_server:
         return await wait_ignoring_leave(response.read)
@@ -272,18 +281,18 @@
 
 async def _write_events(
     delivered: DeliveryProgress,
-    head: AnswerHead,
+    head: ResponseHead,
     events: list[Event],
     caller: CallerConnection,
 ) -> None:
     # The head is not written before the first event: until then another server may
     # still send the whole response, with its own head.
-    if not caller.begun:
-        caller.write_head(head.status, passed_on(head.headers), None)
+    if not caller.head_written:
+        caller.write_head(head.status, end_to_end_headers(head.headers), None)
     # Counted before the write: once the data is in the transport's buffer, the caller
     # may receive it.
     delivered.event_count += len(events)
-    delivered.last_event_id = delivered.splitter.last_id
+    delivered.last_event_id = delivered.splitter.last_event_id
     await caller.write_body(b"".join(event.data for event in events))
 
 
@@ -337,16 +346,16 @@
         try:
             async with asyncio.timeout(max(0.0, started + timeout - clock())):
                 return await wait()
-        except LeaveAsked:
+        except FailoverRequested:
             return await monitor.wait_or_hedge(wait, False)
         except TimeoutError:
             # An event loop that was suspended runs its timers before it reads data that
             # has arrived.
             await asyncio.sleep(0)
-            if backend.heard_at <= started:
+            if backend.last_received_at <= started:
                 may_extend = since_last_byte and timeout < monitor.link_timeout
                 if may_extend and monitor.link_unresponsive():
                     timeout = monitor.link_timeout
                     continue
                 return await monitor.wait_or_hedge(wait, True)
-        started = backend.heard_at if since_last_byte else clock()
+        started = backend.last_received_at if since_last_byte else clock()
--- a/packages/wasabideck_forward/wasabideck_forward/dispatch.py
+++ b/packages/wasabideck_forward/wasabideck_forward/dispatcher.py
@@ -11,23 +11,23 @@
 
 from attrs import define, field
 from wasabideck_policy.backends import Backend
-from wasabideck_policy.beliefs import Beliefs
+from wasabideck_policy.cluster_state import ClusterState
 from wasabideck_policy.configuration import Route
-from wasabideck_policy.fresh_share import FreshShare
-from wasabideck_policy.late_lane import LateLane
-from wasabideck_policy.outliers import Outliers
+from wasabideck_policy.in_time_share import InTimeShare
+from wasabideck_policy.late_requests import LateRequestLimiter
+from wasabideck_policy.outliers import OutlierEjection
 from wasabideck_policy.placement import (
-    Demand,
-    Place,
+    Placement,
+    Requirements,
     Urgency,
-    choose,
-    choose_near,
+    choose_local_server,
+    choose_server,
 )
-from wasabideck_policy.retry_share import RetryShare
+from wasabideck_policy.retry_limit import RetryLimit
 
-from .crash_watch import CrashWatch
+from .crash_detector import CrashDetector
 from .exchange import Exchange
-from .messages import CallerRequest
+from .http_heads import CallerRequest
 from .refusals import (
     AllFull,
     ConfigurationUnknown,
@@ -39,7 +39,7 @@
     Refusal,
 )
 
-__all__ = ["Bounds", "Dispatch", "max_caller_wait"]
+__all__ = ["DispatchLimits", "Dispatcher", "max_caller_wait"]
 
 # Maximum time for which a request waits here for a server that is reported to be
 # available soon. A refused caller would retry after the same time, and might be refused
@@ -51,10 +51,10 @@
 # unreachable too, and a started stream would end if they counted.
 MAX_UNREACHABLE_SERVERS = 3
 # Interval at which a waiting late request checks whether it may be sent.
-TURN_SECONDS = 0.05
+LATE_POLL_INTERVAL_SECONDS = 0.05
 # Share of the maximum caller wait that a late request spends waiting to be sent; the
 # rest is left to the server.
-TURN_PART = 0.6
+LATE_WAIT_RATIO = 0.6
 # Callers wait for a stream's next event for a multiple of the stream's longest pause or
 # of its goal, whichever is longer, and for no less than the minimum.
 CALLER_WAIT_PAUSES = 8
@@ -67,14 +67,14 @@
 RESERVED_WORK_SECONDS = 1.0
 # A request that has not been sent this long before its goal can't meet the goal: the
 # first event takes one pass of the engine's batch and the reading of the prompt.
-FIRST_EVENT_SECONDS = 0.12
+MIN_FIRST_EVENT_SECONDS = 0.12
 # Connect timeout for a request that may have to be recalled before the server starts
 # it. The close that recalls it takes the same path, and has 0.2 s to arrive.
 RECALLABLE_CONNECT_SECONDS = 0.15
 
 
 @define
-class Bounds:
+class DispatchLimits:
     """Limits of the deployment that the choice of servers depends on.
 
     The ages are those of the newest version of the weights: seconds since it was
@@ -85,50 +85,50 @@
     retry_ratio, retry_slack, retry_window : float
         Retry budget: retries that each request adds, retries that all entries together
         may make beyond these, and the length of the sliding window in seconds.
-    version_seconds : float
+    max_send_age_seconds : float
         Age until which requests are sent to servers with older weights.
-    begin_seconds : float
+    max_start_age_seconds : float
         Age until which such a server may start requests.
-    queue_seconds : float
+    max_queue_age_seconds : float
         Age until which requests may have to wait in the queue of such a server.
-    full_seconds : float
+    max_full_age_seconds : float
         Age until which requests are sent to such a server if they have to wait there.
     """
 
     retry_ratio: float
     retry_slack: float
     retry_window: float
-    version_seconds: float
-    begin_seconds: float
-    queue_seconds: float
-    full_seconds: float
+    max_send_age_seconds: float
+    max_start_age_seconds: float
+    max_queue_age_seconds: float
+    max_full_age_seconds: float
 
 
 @define
-class Dispatch:
+class Dispatcher:
     """Admits requests and chooses their servers.
 
     Attributes
     ----------
     outliers : Outliers
         Failing servers, which are left out for a while.
-    kept : callable
+    idle_servers : callable
         Returns the names of the servers with an idle connection.
     """
 
-    beliefs: Beliefs
-    bounds: Bounds
+    cluster_state: ClusterState
+    limits: DispatchLimits
     data_centre: str
     clock: Callable[[], float]
     rng: random.Random
-    crashes: CrashWatch
-    outliers: Outliers = field(factory=Outliers)
-    kept: Callable[[], Container[str]] = frozenset
-    _retry_shares: dict[str, RetryShare] = field(factory=dict)
-    _fresh_shares: dict[str, FreshShare] = field(factory=dict)
+    crash_detector: CrashDetector
+    outliers: OutlierEjection = field(factory=OutlierEjection)
+    idle_servers: Callable[[], Container[str]] = frozenset
+    _retry_limits: dict[str, RetryLimit] = field(factory=dict)
+    _in_time_shares: dict[str, InTimeShare] = field(factory=dict)
     _change_event: asyncio.Event = field(factory=asyncio.Event)
     _waiter_count: int = 0
-    _late_limiter: LateLane = field(factory=LateLane)
+    _late_limiter: LateRequestLimiter = field(factory=LateRequestLimiter)
     _longest_deadlines: dict[str, float] = field(factory=dict)
 
     def wake(self) -> None:
@@ -137,43 +137,47 @@
             self._change_event.set()
             self._change_event = asyncio.Event()
 
-    def set_bounds(self, bounds: Bounds) -> None:
+    def set_limits(self, bounds: DispatchLimits) -> None:
         """Replace the limits, and reset the retry budgets."""
-        self.bounds = bounds
-        self._retry_shares.clear()
+        self.limits = bounds
+        self._retry_limits.clear()
 
     def admit(self, req: CallerRequest, now: float) -> Exchange:
         """Return the state of a new request; raises ``Refusal``."""
-        cfg = self.beliefs.configuration
-        if cfg is None or not self.beliefs.listed:
+        cfg = self.cluster_state.configuration
+        if cfg is None or not self.cluster_state.servers_known:
             raise ConfigurationUnknown("no configuration received yet")
         route = cfg.route(req.head.host, req.path)
         # A route or key that this process doesn't know may have been added since it
         # last received the configuration.
-        stale = self.beliefs.stale(now)
+        stale = self.cluster_state.stale(now)
         if route is None:
             raise ConfigurationUnknown("route") if stale else NoRoute(req.path[:80])
         organisation, priority = "", route.priority
         if cfg.keys is not None and not route.public:
-            owner = cfg.keys.get(req.head.key)
+            owner = cfg.keys.get(req.head.api_key)
             if owner is None:
                 raise ConfigurationUnknown("key") if stale else KeyUnknown("no holder")
             organisation = owner.name
             priority = route.priority if owner.priority is None else owner.priority
         service = route.draw_service(self.rng)
-        deadline = req.arrived + req.head.deadline if req.head.deadline else None
-        expires_at = min(req.arrived + route.timeout, deadline or float("inf"))
-        self._retry_share(service).request(now)
+        deadline = (
+            req.arrived_at + req.head.wait_seconds if req.head.wait_seconds else None
+        )
+        expires_at = min(
+            req.arrived_at + route.timeout_seconds, deadline or float("inf")
+        )
+        self._retry_limit(service).record_request(now)
         engine = cfg.services[service].engine if service in cfg.services else None
         exchange = Exchange(
             req, route, service, expires_at, deadline, organisation, priority, engine
         )
-        if self.crashes.is_quarantined(exchange):
+        if self.crash_detector.is_quarantined(exchange):
             raise Quarantined(service)
         if engine is not None:
-            share = self._fresh_share(service)
-            share.arrive(now)
-            exchange.prioritised = share.draw(self.rng)
+            share = self._in_time_share(service)
+            share.record_arrival(now)
+            exchange.prioritised = share.draw_sent_ahead(self.rng)
             exchange.is_caller_retry = self._is_caller_retry(exchange)
         return exchange
 
@@ -182,18 +186,18 @@
     ) -> None:
         """Record that a server sent the first event of a stream."""
         if exchange.first_event_seconds is None:
-            exchange.first_event_seconds = now - exchange.req.arrived
-        backend.unread.discard(exchange)
-        self._late_limiter.begun(exchange)
+            exchange.first_event_seconds = now - exchange.req.arrived_at
+        backend.unread_prompts.discard(exchange)
+        self._late_limiter.record_started(exchange)
 
     def record_completed(self, exchange: Exchange, now: float) -> None:
         """Record that a request got a complete response."""
         if exchange.engine is not None:
-            self._fresh_share(exchange.service).end(now)
+            self._in_time_share(exchange.service).record_completion(now)
 
     def record_ended(self, exchange: Exchange | None) -> None:
         """Record that a request has ended, with any outcome."""
-        self._late_limiter.ended(exchange)
+        self._late_limiter.record_ended(exchange)
 
     async def choose_server(self, exchange: Exchange) -> Backend:
         """Return the next server, waiting for one if need be; raises ``Refusal``."""
@@ -205,21 +209,23 @@
                 exchange.urgency = place.urgency if exchange.engine else None
                 return place.backend
             if place.backend is not None:
-                time_left = started + TURN_PART * max_caller_wait(exchange.route) - now
-                if time_left <= 0 or not self._late_limiter.may_wait(
+                time_left = (
+                    started + LATE_WAIT_RATIO * max_caller_wait(exchange.route) - now
+                )
+                if time_left <= 0 or not self._late_limiter.try_enqueue(
                     exchange, time_left, now
                 ):
-                    raise self._refusal(exchange, Place(None, full=True))
+                    raise self._refusal(exchange, Placement(None, all_full=True))
                 exchange.waited = True
-                await asyncio.sleep(TURN_SECONDS)
+                await asyncio.sleep(LATE_POLL_INTERVAL_SECONDS)
                 continue
-            available_in = place.back_in
+            available_in = place.ready_in
             limit = min(
                 started + MAX_SERVER_WAIT_SECONDS,
                 exchange.expires_at - RESERVED_WORK_SECONDS,
             )
             available_soon = available_in is not None and now + available_in <= limit
-            if place.full or not available_soon:
+            if place.all_full or not available_soon:
                 raise self._refusal(exchange, place)
             exchange.waited = True
             await self._wait_for_change(available_in)
@@ -234,74 +240,82 @@
         finally:
             self._waiter_count -= 1
 
-    def _may_send_now(self, exchange: Exchange, place: Place, now: float) -> bool:
+    def _may_send_now(self, exchange: Exchange, place: Placement, now: float) -> bool:
         """Whether a request may be sent now; the number of late ones is limited."""
         if exchange.engine is None or place.urgency != Urgency.LATE:
             return True
-        servers = self.beliefs.backends.of_service(exchange.service, now)
-        entries = self.beliefs.entries
-        if not place.free or not self._late_limiter.has_room(len(servers), entries):
+        servers = self.cluster_state.backends.in_service(exchange.service, now)
+        entries = self.cluster_state.entries
+        if not place.has_free_slot or not self._late_limiter.may_send(
+            len(servers), entries
+        ):
             return False
-        self._late_limiter.sent(exchange, now)
+        self._late_limiter.record_sent(exchange, now)
         return True
 
-    def _refusal(self, exchange: Exchange, place: Place) -> Refusal:
+    def _refusal(self, exchange: Exchange, place: Placement) -> Refusal:
         if exchange.outcome_uncertain:
             return OutcomeUnknown("no other server")
-        if place.full:
+        if place.all_full:
             return AllFull(exchange.service)
-        return NoServer(exchange.service, place.back_in)
+        return NoServer(exchange.service, place.ready_in)
 
-    def _choose(self, exchange: Exchange, now: float) -> Place:
+    def _choose(self, exchange: Exchange, now: float) -> Placement:
         demand = self._demand(exchange, now)
         # Servers that were tried or that are left out can only be excluded from the
         # full list, so the choice among local servers is skipped for them.
-        unrestricted = not exchange.tried_servers and not self.outliers.any_out(now)
+        unrestricted = not exchange.tried_servers and not self.outliers.any_ejected(now)
         if unrestricted and demand.model:
             place = self._choose_local(exchange.service, demand, now)
             if place is not None:
                 return place
-        candidates = self.beliefs.backends.of_service(exchange.service, now)
+        candidates = self.cluster_state.backends.in_service(exchange.service, now)
         if not unrestricted:
-            healthy = self.outliers.sound((b.server for b in candidates), now)
+            healthy = self.outliers.healthy((b.server for b in candidates), now)
             candidates = [
                 b
                 for b in candidates
                 if b.server in healthy and b.server not in exchange.tried_servers
             ]
-        return choose(candidates, demand, now, self.rng)
+        return choose_server(candidates, demand, now, self.rng)
 
-    def _choose_local(self, service: str, demand: Demand, now: float) -> Place | None:
-        local = self.beliefs.backends.near(service, self.data_centre, now)
+    def _choose_local(
+        self, service: str, demand: Requirements, now: float
+    ) -> Placement | None:
+        local = self.cluster_state.backends.in_data_centre(
+            service, self.data_centre, now
+        )
         if not local:
             return None
-        idle = self.kept()
+        idle = self.idle_servers()
         connected = [b for b in local if b.server in idle] if idle else []
-        return choose_near(local, connected, demand, now, self.rng)
+        return choose_local_server(local, connected, demand, now, self.rng)
 
-    def _demand(self, exchange: Exchange, now: float) -> Demand:
+    def _demand(self, exchange: Exchange, now: float) -> Requirements:
         if exchange.engine is None:
-            return Demand(self.data_centre)
+            return Requirements(self.data_centre)
         model = exchange.engine.model
-        beliefs, bounds = self.beliefs, self.bounds
-        goal = exchange.route.goal
-        latest_send = exchange.req.arrived + goal - min(FIRST_EVENT_SECONDS, goal / 2)
+        cluster_state, bounds = self.cluster_state, self.limits
+        goal = exchange.route.target_seconds
+        latest_send = (
+            exchange.req.arrived_at + goal - min(MIN_FIRST_EVENT_SECONDS, goal / 2)
+        )
         # A caller with part of a stream disconnects when it pauses for 2 s or more, and
         # everything written for it is lost. At a loaded engine, the rest of the stream
         # would wait longer if it were queued behind late requests.
         has_started = exchange.delivered.event_count > 0
-        return Demand(
+        return Requirements(
             self.data_centre,
             model,
             exchange.engine.layers,
-            beliefs.least_version(model, bounds.version_seconds, now),
-            beliefs.least_version(model, bounds.full_seconds, now),
-            beliefs.least_version(model, bounds.queue_seconds, now),
+            cluster_state.min_version(model, bounds.max_send_age_seconds, now),
+            cluster_state.min_version(model, bounds.max_full_age_seconds, now),
+            cluster_state.min_version(model, bounds.max_queue_age_seconds, now),
             late=exchange.is_caller_retry or now > latest_send,
-            begun=has_started,
-            ahead=exchange.prioritised,
-            entries=max(1, beliefs.entries),
-            near_entries=max(1, beliefs.near_entries),
+            started=has_started,
+            sent_ahead=exchange.prioritised,
+            entries=max(1, cluster_state.entries),
+            local_entries=max(1, cluster_state.local_entries),
         )
 
     def may_retry(self, exchange: Exchange, now: float) -> bool:
@@ -310,15 +324,15 @@
             return False
         if not self._has_attempts_left(exchange):
             return False
-        share = self._retry_share(exchange.service)
-        return share.may_repeat(now, self.beliefs.entries)
+        share = self._retry_limit(exchange.service)
+        return share.try_spend(now, self.cluster_state.entries)
 
     def _has_attempts_left(self, exchange: Exchange) -> bool:
-        if exchange.sent_count >= exchange.route.attempts:
+        if exchange.sent_count >= exchange.route.max_attempts:
             return False
         if exchange.unreachable_count > MAX_UNREACHABLE_SERVERS:
             return False
-        return not self.crashes.is_quarantined(exchange)
+        return not self.crash_detector.is_quarantined(exchange)
 
     def may_resume_elsewhere(self, exchange: Exchange, now: float) -> bool:
         """Whether another server can resume a started stream immediately."""
@@ -328,8 +342,8 @@
         """Whether a hedged request can be sent to another server immediately."""
         if not exchange.may_use_another_server or not self._has_attempts_left(exchange):
             return False
-        share = self._retry_share(exchange.service)
-        if not share.has_room(now, self.beliefs.entries):
+        share = self._retry_limit(exchange.service)
+        if not share.allows_retry(now, self.cluster_state.entries):
             return False
         return self._choose(exchange, now).backend is not None
 
@@ -341,20 +355,22 @@
         if exchange.engine is None:
             return None
         model, now = exchange.engine.model, self.clock()
-        held_version = backend.holds(model, exchange.engine.layers, now)
-        required = self.beliefs.least_version(model, self.bounds.queue_seconds, now)
+        held_version = backend.loaded_version(model, exchange.engine.layers, now)
+        required = self.cluster_state.min_version(
+            model, self.limits.max_queue_age_seconds, now
+        )
         return RECALLABLE_CONNECT_SECONDS if held_version < required else None
 
     def min_version(self, exchange: Exchange, now: float) -> int:
         """Return the lowest version of the weights that may start it; 0 for any."""
-        return self._demand(exchange, now).least_version
+        return self._demand(exchange, now).min_version
 
     def _is_caller_retry(self, exchange: Exchange) -> bool:
         """Whether the request is a caller's retry, by the time that it has left.
 
         Its goal has passed already, although the request has only just arrived.
         """
-        time_left = exchange.req.head.deadline
+        time_left = exchange.req.head.wait_seconds
         if not time_left:
             return False
         route = exchange.route.name
@@ -363,19 +379,22 @@
         )
         return time_left < FIRST_TRY_MIN_RATIO * longest
 
-    def _fresh_share(self, service: str) -> FreshShare:
-        return self._fresh_shares.setdefault(service, FreshShare())
+    def _in_time_share(self, service: str) -> InTimeShare:
+        return self._in_time_shares.setdefault(service, InTimeShare())
 
-    def _retry_share(self, service: str) -> RetryShare:
-        if service not in self._retry_shares:
-            bounds = self.bounds
-            self._retry_shares[service] = RetryShare(
+    def _retry_limit(self, service: str) -> RetryLimit:
+        if service not in self._retry_limits:
+            bounds = self.limits
+            self._retry_limits[service] = RetryLimit(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
             )
-        return self._retry_shares[service]
+        return self._retry_limits[service]
 
 
 def max_caller_wait(route: Route) -> float:
     """Return the seconds after which callers disconnect from a stream without data."""
-    wait = max(CALLER_WAIT_PAUSES * route.pause, CALLER_WAIT_GOALS * route.goal)
+    wait = max(
+        CALLER_WAIT_PAUSES * route.max_event_interval_seconds,
+        CALLER_WAIT_GOALS * route.target_seconds,
+    )
     return max(wait, MIN_CALLER_WAIT_SECONDS)
--- a/packages/wasabideck_forward/wasabideck_forward/entry_process.py
+++ b/packages/wasabideck_forward/wasabideck_forward/entry_process.py
@@ -5,21 +5,21 @@
 import asyncio
 
 from attrs import define
-from wasabideck_base.deployment import Deployment
-from wasabideck_base.early_listener import BACKLOG, EarlyListener
-from wasabideck_base.engine_datagrams import EngineNewsListener
-from wasabideck_base.node import NodeSettings
-from wasabideck_base.node_process import NodeProcess, node_process
+from wasabideck_base.deployment import DeploymentAdapter
+from wasabideck_base.early_listener import LISTEN_BACKLOG, EarlyListener
+from wasabideck_base.engine_datagrams import EngineReportListener
+from wasabideck_base.vm_process import VMProcess, run_vm_process
+from wasabideck_base.vm_settings import VMSettings
 from wasabideck_policy.configuration import CallerLimits
-from wasabideck_policy.engine_news import EngineNews
+from wasabideck_policy.engine_report import EngineReport
 from wasabideck_policy.membership import ENTRY
 
 from .caller_connection import CallerConnection, CallerEndpoint
-from .crash_watch import CrashWatch
-from .dispatch import Bounds, Dispatch
+from .crash_detector import CrashDetector
+from .dispatcher import Dispatcher, DispatchLimits
 from .early_callers import EarlyCallers
 from .forwarder import Forwarder
-from .messages import CallerRequest
+from .http_heads import CallerRequest
 from .server_pool import ServerPool
 
 __all__ = ["run_entry"]
@@ -54,7 +54,9 @@
 
 
 async def run_entry(
-    cfg: NodeSettings, deployment: Deployment, listener: EarlyListener | None = None
+    cfg: VMSettings,
+    deployment: DeploymentAdapter,
+    listener: EarlyListener | None = None,
 ) -> None:
     """Run an entry until it is told to stop and has answered all requests it had read.
 
@@ -64,16 +66,16 @@
         Socket that already listens for callers; None to listen at the address in the
         settings.
     """
-    async with node_process(cfg, ENTRY, deployment, lambda process: ()) as process:
+    async with run_vm_process(cfg, ENTRY, deployment, lambda process: ()) as process:
         entry = _assemble(process, deployment)
-        await entry.serve(listener or EarlyListener(cfg.front))
+        await entry.serve(listener or EarlyListener(cfg.caller_address))
 
 
 @define
 class _Entry:
     """The endpoints of one entry, and its forwarder."""
 
-    process: NodeProcess
+    process: VMProcess
     callers: CallerEndpoint
     readiness: CallerEndpoint
     forwarder: Forwarder
@@ -82,17 +84,21 @@
         """Accept callers on a listener until the stop signal, then drain."""
         loop = asyncio.get_running_loop()
         cfg = self.process.cfg
-        self.callers.early_callers = EarlyCallers(listener.since, self.process.clock())
+        self.callers.early_callers = EarlyCallers(
+            listener.listening_since, self.process.clock()
+        )
         servers = [
             await _create_server(self.callers, listener),
-            await _create_server(self.readiness, EarlyListener(cfg.ready)),
+            await _create_server(
+                self.readiness, EarlyListener(cfg.health_check_address)
+            ),
         ]
         report_transport, _ = await loop.create_datagram_endpoint(
-            lambda: EngineNewsListener(self._apply_report),
+            lambda: EngineReportListener(self._apply_report),
             local_addr=(cfg.ip, cfg.inner_port),
         )
-        loops = (self._run_sweeps(), self.forwarder.keep_taking_back())
-        tasks = [self.process.keep(coro) for coro in loops]
+        loops = (self._run_sweeps(), self.forwarder.run_recalls())
+        tasks = [self.process.start_loop(coro) for coro in loops]
         await self.process.stop.wait()
         await self._drain(servers[0])
         for task in tasks:
@@ -101,15 +107,18 @@
         for server in servers:
             server.close()
 
-    def _apply_report(self, report: EngineNews) -> None:
-        backends = self.process.believer.beliefs.backends
-        backend = backends.at(report.address)
+    def _apply_report(self, report: EngineReport) -> None:
+        backends = self.process.state_sync.cluster_state.backends
+        backend = backends.find_by_address(report.address)
         if backend is not None:
-            backend.hear(report, self.process.clock())
-            self.forwarder.dispatch.wake()
+            backend.apply_report(report, self.process.clock())
+            self.forwarder.dispatcher.wake()
 
     async def _run_sweeps(self) -> None:
-        pool, backends = self.forwarder.pool, self.process.believer.beliefs.backends
+        pool, backends = (
+            self.forwarder.pool,
+            self.process.state_sync.cluster_state.backends,
+        )
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             self.callers.sweep()
@@ -118,7 +127,10 @@
 
     async def _drain(self, server: asyncio.Server) -> None:
         """Answer all requests that were read, within the time for shutting down."""
-        clock, grace = self.process.clock, self.process.cfg.bounds.grace
+        clock, grace = (
+            self.process.clock,
+            self.process.cfg.limits.shutdown_grace_seconds,
+        )
         started_at = clock()
         self.callers.draining = True
         self.process.events.emit("process.leaving", open=len(self.callers.connections))
@@ -132,49 +144,49 @@
                 return
 
 
-def _assemble(process: NodeProcess, deployment: Deployment) -> _Entry:
-    cfg, beliefs = process.cfg, process.believer.beliefs
-    quarantine = process.believer.hearsay.quarantine
-    dispatch = Dispatch(
-        beliefs,
+def _assemble(process: VMProcess, deployment: DeploymentAdapter) -> _Entry:
+    cfg, cluster_state = process.cfg, process.state_sync.cluster_state
+    quarantine = process.state_sync.gossip.quarantine
+    dispatch = Dispatcher(
+        cluster_state,
         _bounds(cfg),
         cfg.data_centre,
         process.clock,
         process.rng,
-        CrashWatch(quarantine, process.events, process.events.wall),
+        CrashDetector(quarantine, process.events, process.events.wall),
     )
-    pool = ServerPool(deployment.wire, process.clock)
-    dispatch.kept = pool.idle_servers
-    forwarder = Forwarder(pool, deployment.wire, process.events, dispatch)
-    process.on_reload.append(lambda cfg: dispatch.set_bounds(_bounds(cfg)))
+    pool = ServerPool(deployment.head_codec, process.clock)
+    dispatch.idle_servers = pool.idle_servers
+    forwarder = Forwarder(pool, deployment.head_codec, process.events, dispatch)
+    process.reload_listeners.append(lambda cfg: dispatch.set_limits(_bounds(cfg)))
 
     def current_limits() -> CallerLimits:
-        configuration = beliefs.configuration
+        configuration = cluster_state.configuration
         return configuration.limits if configuration else CallerLimits()
 
     callers = CallerEndpoint(
-        deployment.wire, process.clock, current_limits, forwarder.serve, set()
+        deployment.head_codec, process.clock, current_limits, forwarder.serve, set()
     )
 
     async def answer_check(req: CallerRequest, caller: CallerConnection) -> None:
-        is_ready = beliefs.ready and not callers.draining
+        is_ready = cluster_state.ready and not callers.draining
         caller.write_head(200 if is_ready else 503, (), 0)
 
     readiness = CallerEndpoint(
-        deployment.wire, process.clock, current_limits, answer_check, set()
+        deployment.head_codec, process.clock, current_limits, answer_check, set()
     )
     return _Entry(process, callers, readiness, forwarder)
 
 
-def _bounds(cfg: NodeSettings) -> Bounds:
-    return Bounds(
-        cfg.bounds.retry_ratio,
-        cfg.bounds.retry_slack,
-        cfg.bounds.retry_window,
-        cfg.bounds.version - SEND_MARGIN_SECONDS,
-        cfg.bounds.version - START_MARGIN_SECONDS,
-        cfg.bounds.version - QUEUE_MARGIN_SECONDS,
-        cfg.bounds.version - FULL_SERVER_MARGIN_SECONDS,
+def _bounds(cfg: VMSettings) -> DispatchLimits:
+    return DispatchLimits(
+        cfg.limits.retry_ratio,
+        cfg.limits.shared_retry_allowance,
+        cfg.limits.retry_window_seconds,
+        cfg.limits.version_deadline_seconds - SEND_MARGIN_SECONDS,
+        cfg.limits.version_deadline_seconds - START_MARGIN_SECONDS,
+        cfg.limits.version_deadline_seconds - QUEUE_MARGIN_SECONDS,
+        cfg.limits.version_deadline_seconds - FULL_SERVER_MARGIN_SECONDS,
     )
 
 
@@ -183,5 +195,5 @@
 ) -> asyncio.Server:
     loop = asyncio.get_running_loop()
     return await loop.create_server(
-        lambda: CallerConnection(endpoint), sock=listener.sock, backlog=BACKLOG
+        lambda: CallerConnection(endpoint), sock=listener.sock, backlog=LISTEN_BACKLOG
     )
--- a/packages/wasabideck_forward/wasabideck_forward/event_stream.py
+++ b/packages/wasabideck_forward/wasabideck_forward/event_stream.py
@@ -37,7 +37,7 @@
     """
 
     _buffer: bytes = b""
-    last_id: bytes = field(default=b"")
+    last_event_id: bytes = field(default=b"")
 
     def feed(self, data: bytes) -> list[Event]:
         """Return the events that are complete now; raise ``EventTooLong``."""
@@ -46,7 +46,7 @@
         while (end := self._find_event_end()) >= 0:
             complete, self._buffer = self._buffer[:end], self._buffer[end:]
             event = Event(complete, _parse_id(complete))
-            self.last_id = event.event_id or self.last_id
+            self.last_event_id = event.event_id or self.last_event_id
             events.append(event)
         if len(self._buffer) > MAX_EVENT_BYTES:
             raise EventTooLong(f"{len(self._buffer)} bytes without the end of an event")
@@ -57,7 +57,7 @@
         """Bytes of an event that is not complete yet."""
         return self._buffer
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Discard an incomplete event: another server sends it from its start."""
         self._buffer = b""
 
--- a/packages/wasabideck_forward/wasabideck_forward/exchange.py
+++ b/packages/wasabideck_forward/wasabideck_forward/exchange.py
@@ -6,7 +6,7 @@
 from wasabideck_policy.configuration import EngineModel, Route
 
 from .event_stream import EventSplitter
-from .messages import AnswerHead, CallerRequest
+from .http_heads import CallerRequest, ResponseHead
 
 __all__ = ["DeliveryProgress", "Exchange"]
 
@@ -28,7 +28,7 @@
     last_event_id: bytes = b""
     event_count: int = 0
     splitter: EventSplitter = field(factory=EventSplitter)
-    fallback: tuple[AnswerHead, bytes] | None = None
+    fallback: tuple[ResponseHead, bytes] | None = None
 
 
 @define(eq=False)
@@ -98,4 +98,4 @@
     @property
     def may_use_another_server(self) -> bool:
         """Whether another server may be tried in addition to those that have it."""
-        return self.route.idempotent and self.sent_count < self.route.attempts
+        return self.route.idempotent and self.sent_count < self.route.max_attempts
--- a/packages/wasabideck_forward/wasabideck_forward/forwarder.py
+++ b/packages/wasabideck_forward/wasabideck_forward/forwarder.py
@@ -10,7 +10,7 @@
 from attrs import define, field
 from wasabideck_base.events import Events
 from wasabideck_policy.backends import Backend
-from wasabideck_policy.beliefs import Beliefs
+from wasabideck_policy.cluster_state import ClusterState
 
 from .attempts import Attempt, Attempts
 from .caller_connection import CallerConnection
@@ -22,9 +22,10 @@
     wait_for_start,
     write_response,
 )
-from .dispatch import Dispatch, max_caller_wait
+from .dispatcher import Dispatcher, max_caller_wait
 from .exchange import Exchange
-from .messages import AnswerHead, CallerRequest, Wire
+from .hedging import Replaced, wait_or_hedge
+from .http_heads import CallerRequest, HeadCodec, ResponseHead
 from .recall import Recalled
 from .refusals import (
     CallerLeft,
@@ -36,7 +37,6 @@
 )
 from .server_connection import AnswerBroken
 from .server_pool import ServerPool, Unreachable
-from .takeover import Replaced, wait_or_hedge
 
 __all__ = ["Forwarder"]
 
@@ -59,7 +59,7 @@
 # Interval at which requests in flight are checked for a recall. Twenty checks a second
 # cost nothing that could be measured, and a request that is 0.05 s late can still be
 # recalled in time.
-LOOK_SECONDS = 0.05
+RECALL_INTERVAL_SECONDS = 0.05
 # How long the data of a draining server is held back while a replacement is sought: the
 # replacement resumes after the last event that the caller has.
 DRAIN_HOLD_SECONDS = 0.5
@@ -70,33 +70,33 @@
     """Serves requests by sending them directly to backend servers."""
 
     pool: ServerPool
-    wire: Wire
+    wire: HeadCodec
     events: Events
-    dispatch: Dispatch
+    dispatcher: Dispatcher
     in_progress: int = 0
     attempts: Attempts = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Start with no attempts."""
-        self.attempts = Attempts(self.pool, self.wire, self.dispatch)
+        self.attempts = Attempts(self.pool, self.wire, self.dispatcher)
 
     @property
-    def beliefs(self) -> Beliefs:
+    def cluster_state(self) -> ClusterState:
         """The state of the cluster as known to this process."""
-        return self.dispatch.beliefs
+        return self.dispatcher.cluster_state
 
     @property
     def clock(self) -> Callable[[], float]:
         """The clock, which returns the present time in seconds."""
-        return self.dispatch.clock
+        return self.dispatcher.clock
 
-    async def keep_taking_back(self) -> None:
+    async def run_recalls(self) -> None:
         """Recall requests from servers that must not have them any longer, forever."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(RECALL_INTERVAL_SECONDS)
             now = self.clock()
             in_flight = self.attempts.in_flight
-            in_flight.recall_expired(self.dispatch.bounds.begin_seconds, now)
+            in_flight.recall_expired(self.dispatcher.limits.max_start_age_seconds, now)
             in_flight.resume_draining_elsewhere(now)
 
     async def serve(self, req: CallerRequest, caller: CallerConnection) -> None:
@@ -105,16 +105,16 @@
         exchange = None
         try:
             await self._wait_until_ready()
-            exchange = self.dispatch.admit(req, self.clock())
+            exchange = self.dispatcher.admit(req, self.clock())
             await self._serve_until_expiry(exchange, caller)
         except Refusal as exc:
             await self._refuse(req, exchange, exc, caller)
         except asyncio.CancelledError:
-            self._note(req, exchange, "left")
+            self._log_end(req, exchange, "left")
             raise
         finally:
             self.in_progress -= 1
-            self.dispatch.record_ended(exchange)
+            self.dispatcher.record_ended(exchange)
 
     async def _wait_until_ready(self) -> None:
         """Wait briefly for the first configuration and list of servers.
@@ -123,7 +123,10 @@
         connect by then were refused once already, and would not retry a second time.
         """
         started = self.clock()
-        while not self.beliefs.ready and self.clock() - started < STARTUP_WAIT_SECONDS:
+        while (
+            not self.cluster_state.ready
+            and self.clock() - started < STARTUP_WAIT_SECONDS
+        ):
             await asyncio.sleep(STARTUP_POLL_INTERVAL_SECONDS)
 
     async def _serve_until_expiry(
@@ -133,7 +136,7 @@
             async with asyncio.timeout_at(exchange.expires_at):
                 await self._try_servers(exchange, caller)
         except TimeoutError:
-            if caller.begun:
+            if caller.head_written:
                 self._abort(exchange, caller, "TimeUp")
                 return
             if exchange.outcome_uncertain:
@@ -142,8 +145,10 @@
 
     async def _try_servers(self, exchange: Exchange, caller: CallerConnection) -> None:
         while True:
-            backend = await self.dispatch.choose_server(exchange)
-            if (exchange.tried_servers or exchange.waited) and caller.has_left():
+            backend = await self.dispatcher.choose_server(exchange)
+            if (
+                exchange.tried_servers or exchange.waited
+            ) and caller.has_disconnected():
                 raise CallerLeft(exchange.service)
             try:
                 with self._recording_failures(exchange, backend):
@@ -154,10 +159,10 @@
             else:
                 return
             # The caller has part of a long plain response, which nothing can continue.
-            truncated = caller.begun and not exchange.delivered.event_count
-            if not truncated and self.dispatch.may_retry(exchange, self.clock()):
+            truncated = caller.head_written and not exchange.delivered.event_count
+            if not truncated and self.dispatcher.may_retry(exchange, self.clock()):
                 continue
-            if caller.begun:
+            if caller.head_written:
                 self._abort(exchange, caller, "OutcomeUnknown")
                 return
             if exchange.outcome_uncertain:
@@ -186,13 +191,13 @@
                 monitor = self._response_monitor(exchange, attempt, caller)
                 head = await usable_head(exchange, response, monitor)
                 on_first_event = partial(
-                    self.dispatch.record_first_event, exchange, backend
+                    self.dispatcher.record_first_event, exchange, backend
                 )
                 await deliver(exchange, head, response, monitor, caller, on_first_event)
             answered = True
-            self._note(exchange.req, exchange, "answered")
-            self.dispatch.record_completed(exchange, self.clock())
-            self.dispatch.outliers.succeeded(backend.server)
+            self._log_end(exchange.req, exchange, "answered")
+            self.dispatcher.record_completed(exchange, self.clock())
+            self.dispatcher.outliers.record_success(backend.server)
         finally:
             self.attempts.end(attempt, answered)
 
@@ -203,16 +208,16 @@
 
         If a server fails, the next one is tried as long as the route allows it.
         """
-        while self.dispatch.may_hedge(exchange, self.clock()):
+        while self.dispatcher.may_hedge(exchange, self.clock()):
             try:
-                backend = await self.dispatch.choose_server(exchange)
+                backend = await self.dispatcher.choose_server(exchange)
             except Refusal:
                 return None
-            if caller.has_left():
+            if caller.has_disconnected():
                 return None
             # This is checked last: it counts a retry, and a late request may have got
             # no server.
-            if not self.dispatch.may_retry(exchange, self.clock()):
+            if not self.dispatcher.may_retry(exchange, self.clock()):
                 return None
             with suppress(*ATTEMPT_FAILURES):
                 return await self._start_replacement(exchange, backend, caller)
@@ -268,11 +273,11 @@
         )
 
     def _accept_head(
-        self, exchange: Exchange, backend: Backend, head: AnswerHead
+        self, exchange: Exchange, backend: Backend, head: ResponseHead
     ) -> None:
         """Record a response's head; raises ``ServerFailed`` for a refusal."""
         self._record_head(exchange, backend, head)
-        if head.refused or head.other_server:
+        if head.refused or head.misdirected:
             exchange.possibly_executed_by.discard(backend.server)
             exchange.refusal_count += 1
             raise ServerFailed(head.status, refused=True)
@@ -290,23 +295,25 @@
 
     def _seconds_since_data(self, backend: Backend) -> float | None:
         """Return the seconds since a server last sent data; None if it never did."""
-        if not backend.heard_at:
+        if not backend.last_received_at:
             return None
-        return round(self.clock() - backend.heard_at, 3)
+        return round(self.clock() - backend.last_received_at, 3)
 
     def _link_unresponsive(self, backend: Backend) -> bool:
         data_centre = backend.listed.data_centre
-        return self.beliefs.backends.way_silent(data_centre, self.clock())
+        return self.cluster_state.backends.is_network_unresponsive(
+            data_centre, self.clock()
+        )
 
     def _record_head(
-        self, exchange: Exchange, backend: Backend, head: AnswerHead
+        self, exchange: Exchange, backend: Backend, head: ResponseHead
     ) -> None:
         now = self.clock()
         if head.load is not None:
-            backend.hear_load(head.load.running + head.load.waiting, now)
+            backend.apply_load(head.load.running + head.load.waiting, now)
         if head.version and exchange.engine is not None:
             backend.versions[exchange.engine.model] = head.version
-        if head.other_server:
+        if head.misdirected:
             backend.full_until = now + NOT_RUN_BACKOFF_SECONDS
         elif head.refused:
             backend.full_until = now + FULL_BACKOFF_SECONDS
@@ -317,18 +324,18 @@
         refused = isinstance(exc, ServerFailed) and exc.refused
         if isinstance(exc, Unreachable):
             exchange.unreachable_count += 1
-            self.dispatch.outliers.lost(backend.server, self.clock())
+            self.dispatcher.outliers.eject(backend.server, self.clock())
         elif not refused and not isinstance(exc, Recalled):
-            self.dispatch.outliers.failed(backend.server, self.clock())
+            self.dispatcher.outliers.record_failure(backend.server, self.clock())
         if isinstance(exc, AnswerBroken):
-            self.dispatch.crashes.connection_failed(exchange, backend)
+            self.dispatcher.crash_detector.connection_failed(exchange, backend)
         self.events.emit(
             "attempt.failed",
-            request=exchange.req.head.request,
+            request=exchange.req.head.request_id,
             server=backend.server,
             why=f"{type(exc).__name__}: {exc}",
             uncertain=exchange.outcome_uncertain,
-            pressed=backend.in_progress + backend.others,
+            pressed=backend.in_progress + backend.other_requests,
             delivered=exchange.delivered.event_count,
             unheard=self._seconds_since_data(backend),
             way_silent=self._link_unresponsive(backend),
@@ -340,7 +347,7 @@
         """Log that another server is sought for a request that has one already."""
         self.events.emit(
             "replacement.sought",
-            request=exchange.req.head.request,
+            request=exchange.req.head.request_id,
             server=backend.server,
             silent=unresponsive,
             delivered=exchange.delivered.event_count,
@@ -355,19 +362,19 @@
         if by.failure is not None:
             self._record_failure(exchange, backend, by.failure)
         elif unresponsive:
-            self.dispatch.outliers.failed(backend.server, self.clock())
-            self.dispatch.crashes.connection_failed(exchange, backend)
+            self.dispatcher.outliers.record_failure(backend.server, self.clock())
+            self.dispatcher.crash_detector.connection_failed(exchange, backend)
         self.events.emit(
             "attempt.replaced",
-            request=exchange.req.head.request,
+            request=exchange.req.head.request_id,
             server=backend.server,
             by=by.attempt.backend.server,
             unheard=self._seconds_since_data(backend),
         )
 
     def _abort(self, exchange: Exchange, caller: CallerConnection, why: str) -> None:
-        caller.break_off()
-        self._note(exchange.req, exchange, "broken-off", reason=why)
+        caller.abort_response()
+        self._log_end(exchange.req, exchange, "broken-off", reason=why)
 
     async def _refuse(
         self,
@@ -377,35 +384,35 @@
         caller: CallerConnection,
     ) -> None:
         fallback = exchange.delivered.fallback if exchange else None
-        if fallback and not caller.begun and not isinstance(exc, CallerLeft):
+        if fallback and not caller.head_written and not isinstance(exc, CallerLeft):
             # A server's own failure tells the caller more than a refusal would.
             await write_response(caller, *fallback)
-            self._note(req, exchange, "answered", reason=type(exc).__name__)
+            self._log_end(req, exchange, "answered", reason=type(exc).__name__)
             return
         outcome = "left" if isinstance(exc, CallerLeft) else "refused"
-        self._note(req, exchange, outcome, reason=type(exc).__name__, why=str(exc))
-        if caller.begun or isinstance(exc, CallerLeft):
-            caller.break_off()
+        self._log_end(req, exchange, outcome, reason=type(exc).__name__, why=str(exc))
+        if caller.head_written or isinstance(exc, CallerLeft):
+            caller.abort_response()
             return
         body = b'{"error":"%s"}' % type(exc).__name__.encode()
         headers = [(b"Content-Type", b"application/json")]
         if exc.retry_after:
             # Jitter keeps callers that were refused together from retrying together.
-            seconds = exc.retry_after * self.dispatch.rng.uniform(0.7, 1.3)
+            seconds = exc.retry_after * self.dispatcher.rng.uniform(0.7, 1.3)
             headers.append((b"Retry-After", b"%.2f" % seconds))
         caller.write_head(exc.status, headers, len(body))
         await caller.write_body(body)
 
-    def _note(
+    def _log_end(
         self, req: CallerRequest, exchange: Exchange | None, outcome: str, **fields: str
     ) -> None:
         """Log how a request ended."""
-        cfg = self.beliefs.configuration
+        cfg = self.cluster_state.configuration
         self.events.emit(
             "request.ended",
-            request=req.head.request,
+            request=req.head.request_id,
             outcome=outcome,
-            seconds=round(self.clock() - req.arrived, 4),
+            seconds=round(self.clock() - req.arrived_at, 4),
             servers=exchange.tried_servers if exchange else [],
             route=exchange.route.name if exchange else "",
             first=_round_or_none(exchange.first_event_seconds) if exchange else None,
--- a/packages/wasabideck_forward/wasabideck_forward/takeover.py
+++ b/packages/wasabideck_forward/wasabideck_forward/hedging.py
@@ -8,7 +8,7 @@
 from typing import TypeVar
 
 from .attempts import Attempt
-from .server_connection import LeaveAsked
+from .server_connection import FailoverRequested
 
 __all__ = ["Replaced", "wait_ignoring_leave", "wait_or_hedge"]
 
@@ -41,7 +41,7 @@
     while True:
         try:
             return await wait()
-        except LeaveAsked:
+        except FailoverRequested:
             continue
 
 
--- a/packages/wasabideck_forward/wasabideck_forward/messages.py
+++ b/packages/wasabideck_forward/wasabideck_forward/http_heads.py
@@ -11,17 +11,17 @@
 from attrs import define, field, frozen
 
 __all__ = [
-    "AnswerHead",
+    "ResponseHead",
     "CallerRequest",
     "Headers",
-    "Load",
+    "ServerLoad",
     "RequestHead",
-    "Sending",
-    "Wire",
+    "RequestParameters",
+    "HeadCodec",
     "announces_close",
-    "header_of",
+    "first_header",
     "keep_alive_seconds",
-    "passed_on",
+    "end_to_end_headers",
 ]
 
 Headers = Sequence[tuple[bytes, bytes]]
@@ -46,7 +46,7 @@
 
 
 @frozen
-class Load:
+class ServerLoad:
     """Running and queued requests of a server, and the most that it runs at once."""
 
     running: int
@@ -60,28 +60,28 @@
 
     Attributes
     ----------
-    request : str
+    request_id : str
         Id of the request; each retry of the caller has its own.
-    deadline : float or None
+    wait_seconds : float or None
         Seconds that the caller waits.
-    key : str
+    api_key : str
         The caller's key; empty if there is none.
     model : str
         The requested model; empty for plain services.
-    prompt, answer : int
+    prompt_tokens, max_response_tokens : int
         Tokens of the prompt, and the maximum tokens of the response.
-    last_event : bytes
+    last_event_id : bytes
         Id of the last event that the caller received of an aborted stream.
     """
 
-    request: str
+    request_id: str
     host: str
-    deadline: float | None = None
-    key: str = ""
+    wait_seconds: float | None = None
+    api_key: str = ""
     model: str = ""
-    prompt: int = 0
-    answer: int = 0
-    last_event: bytes = b""
+    prompt_tokens: int = 0
+    max_response_tokens: int = 0
+    last_event_id: bytes = b""
 
 
 @define(eq=False)
@@ -90,7 +90,7 @@
 
     Attributes
     ----------
-    arrived : float
+    arrived_at : float
         When its first byte was received, in seconds.
     """
 
@@ -98,7 +98,7 @@
     target: bytes
     headers: Headers
     head: RequestHead
-    arrived: float
+    arrived_at: float
     keep_alive: bool = True
     http10: bool = False
     body: bytes = b""
@@ -110,76 +110,76 @@
 
 
 @frozen
-class Sending:
+class RequestParameters:
     """Values that are sent to a server in addition to the caller's request.
 
     Attributes
     ----------
     server : str
         The server that the request is for; any other server refuses it.
-    left : float or None
+    seconds_left : float or None
         Seconds left until the deadline.
     version : int
         The only version of weights that may run it; 0 for any.
     """
 
     server: str
-    left: float | None
+    seconds_left: float | None
     organisation: str = ""
-    last_event: bytes = b""
+    last_event_id: bytes = b""
     version: int = 0
     priority: int | None = None
 
 
 @frozen
-class AnswerHead:
+class ResponseHead:
     """Values from a response's headers that decide how it is handled.
 
     Attributes
     ----------
-    request : str
+    request_id : str
         Id of the request that it answers; empty if unknown.
     refused : bool
         Whether the server has not run the request and never will.
-    other_server : bool
+    misdirected : bool
         Whether the address now belongs to another server.
     version : int
         Version of the weights that produced it; 0 if unknown.
-    at_fault : str
+    failed_server : str
         Address of another server that caused the request to fail.
     """
 
     status: int
     headers: Headers
-    request: str = ""
+    request_id: str = ""
     refused: bool = False
-    other_server: bool = False
-    load: Load | None = None
+    misdirected: bool = False
+    load: ServerLoad | None = None
     version: int = 0
-    at_fault: str = ""
+    failed_server: str = ""
 
 
 @frozen
-class Wire:
+class HeadCodec:
     """Functions that parse and write heads in the format of a deployment.
 
     Attributes
     ----------
-    read_request : callable
+    parse_request_head : callable
         Returns the ``RequestHead`` of a request's headers.
-    write_request : callable
+    format_request_head : callable
         Returns the bytes of the head that is sent to a server.
-    read_answer : callable
-        Returns the ``AnswerHead`` of a status and headers.
+    parse_response_head : callable
+        Returns the ``ResponseHead`` of a status and headers.
     """
 
-    read_request: Callable[[Headers], RequestHead]
-    write_request: Callable[[CallerRequest, Sending], bytes]
-    read_answer: Callable[[int, Headers], AnswerHead]
+    parse_request_head: Callable[[Headers], RequestHead]
+    format_request_head: Callable[[CallerRequest, RequestParameters], bytes]
+    parse_response_head: Callable[[int, Headers], ResponseHead]
     max_seconds_left: float = field(default=3600.0)
 
 
-def header_of(headers: Headers, name: bytes) -> bytes:
+def first_header(headers: Headers, name: bytes) -> bytes:
     """Return the value of the first header with a name, or empty bytes.
 
     The name is passed in lower case.
@@ -190,9 +190,9 @@
     return b""
 
 
-def passed_on(headers: Headers) -> list[tuple[bytes, bytes]]:
+def end_to_end_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
     """Return the headers that are forwarded, without the hop-by-hop headers."""
-    options = header_of(headers, b"connection").lower()
+    options = first_header(headers, b"connection").lower()
     dropped = {option.strip() for option in options.split(b",")} if options else ()
     return [
         (name, value)
@@ -203,12 +203,12 @@
 
 def announces_close(headers: Headers) -> bool:
     """Whether the sender closes the connection after this message."""
-    return b"close" in header_of(headers, b"connection").lower()
+    return b"close" in first_header(headers, b"connection").lower()
 
 
 def keep_alive_seconds(headers: Headers) -> float | None:
     """Return how long the sender keeps an idle connection; None if it does not say."""
-    for part in header_of(headers, b"keep-alive").split(b","):
+    for part in first_header(headers, b"keep-alive").split(b","):
         name, _, value = part.partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit():
             return float(value)
--- a/packages/wasabideck_forward/wasabideck_forward/recall.py
+++ b/packages/wasabideck_forward/wasabideck_forward/recall.py
@@ -16,12 +16,12 @@
 
 from attrs import define, field, frozen
 from wasabideck_policy.backends import Backend
-from wasabideck_policy.beliefs import Beliefs
+from wasabideck_policy.cluster_state import ClusterState
 from wasabideck_policy.configuration import EngineModel
 from wasabideck_policy.outcomes import WasabideckError
-from wasabideck_policy.waves import DRAIN_SECONDS
+from wasabideck_policy.rollout_waves import DRAIN_SECONDS
 
-from .server_connection import Answer
+from .server_connection import ServerResponse
 
 __all__ = ["InFlightRequest", "InFlightRequests", "Recalled"]
 
@@ -46,7 +46,7 @@
         Returns whether another server can resume it at the given time.
     """
 
-    response: Answer
+    response: ServerResponse
     backend: Backend
     engine: EngineModel
     may_resume_elsewhere: Callable[[float], bool] = lambda now: False
@@ -56,7 +56,7 @@
 class InFlightRequests:
     """Requests of this process that were sent to engines and have not ended."""
 
-    beliefs: Beliefs
+    cluster_state: ClusterState
     _requests: set[InFlightRequest] = field(factory=set)
 
     def add(self, request: InFlightRequest) -> None:
@@ -79,9 +79,9 @@
             Seconds after the declaration of a version at which older ones expire.
         """
         for request in [
-            request for request in self._requests if not request.response.begun
+            request for request in self._requests if not request.response.started
         ]:
-            required = self.beliefs.least_version(
+            required = self.cluster_state.min_version(
                 request.engine.model, max_age_seconds, now
             )
             held_version = self._held_version(request, now)
@@ -91,14 +91,14 @@
     def resume_draining_elsewhere(self, now: float) -> None:
         """Resume started streams elsewhere if their servers drain for too long."""
         for request in [
-            request for request in self._requests if request.response.begun
+            request for request in self._requests if request.response.started
         ]:
-            draining_since = self._backend(request).stopping_since
+            draining_since = self._backend(request).not_serving_since
             if draining_since is None or now - draining_since < DRAIN_SECONDS:
                 continue
             if request.may_resume_elsewhere(now):
                 self._requests.discard(request)
-                request.response.ask_to_leave()
+                request.response.request_failover()
 
     def _fail(self, request: InFlightRequest, why: str) -> None:
         self._requests.discard(request)
@@ -107,10 +107,12 @@
     def _backend(self, request: InFlightRequest) -> Backend:
         # A server that was listed again has a new Backend, which gets the reports of
         # its agent. One that was removed from the list still finishes its requests.
-        return self.beliefs.backends.get(request.backend.server) or request.backend
+        return (
+            self.cluster_state.backends.get(request.backend.server) or request.backend
+        )
 
     def _held_version(self, request: InFlightRequest, now: float) -> int:
         """Return the version that the server starts requests on; 0 if unknown."""
-        return self._backend(request).holds(
+        return self._backend(request).loaded_version(
             request.engine.model, request.engine.layers, now
         )
--- a/packages/wasabideck_forward/wasabideck_forward/server_connection.py
+++ b/packages/wasabideck_forward/wasabideck_forward/server_connection.py
@@ -10,9 +10,9 @@
 import httptools
 from wasabideck_policy.outcomes import WasabideckError
 
-from .messages import AnswerHead, Wire, announces_close, keep_alive_seconds
+from .http_heads import HeadCodec, ResponseHead, announces_close, keep_alive_seconds
 
-__all__ = ["Answer", "AnswerBroken", "LeaveAsked", "ServerConnection"]
+__all__ = ["ServerResponse", "AnswerBroken", "FailoverRequested", "ServerConnection"]
 
 # A connection whose peer acknowledges no data within this time is closed. Without it, a
 # network partition would keep the connection open for many minutes.
@@ -45,18 +45,18 @@
         self.sent = sent
 
 
-class LeaveAsked(Exception):
+class FailoverRequested(Exception):
     """The request should move to another server, and leave this one after that."""
 
 
-class Answer:
+class ServerResponse:
     """A server's response while it is received.
 
     Attributes
     ----------
     head : AnswerHead or None
         The head, once the headers are complete.
-    begun : bool
+    started : bool
         Whether bytes of the body were received: the server has started the request.
     ended : bool
         Whether the whole response was received.
@@ -67,8 +67,8 @@
     def __init__(self, request: str, bodyless: bool):
         self.request = request
         self.bodyless = bodyless
-        self.head: AnswerHead | None = None
-        self.begun = False
+        self.head: ResponseHead | None = None
+        self.started = False
         self.ended = False
         self.failure: WasabideckError | None = None
         self._parts: deque[bytes] = deque()
@@ -77,7 +77,7 @@
         self._leave_asked = False
         self.resume_reading: Callable[[], None] = lambda: None
 
-    async def headers(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Wait for the head and return it; raise the failure passed to ``fail``."""
         while self.head is None:
             if self.failure:
@@ -88,7 +88,7 @@
     async def read(self) -> bytes:
         """Return the next bytes of the body, or empty bytes at its end.
 
-        Raises the failure passed to ``fail``, and ``LeaveAsked`` once after
+        Raises the failure passed to ``fail``, and ``FailoverRequested`` once after
         ``ask_to_leave``.
         """
         while not self._parts:
@@ -100,7 +100,7 @@
                 return b""
             if self._leave_asked:
                 self._leave_asked = False
-                raise LeaveAsked("the server is shutting down")
+                raise FailoverRequested("the server is shutting down")
             await self._wait()
         data = b"".join(self._parts)
         self._parts.clear()
@@ -113,13 +113,13 @@
         if self.failure:
             # The outcome is decided: the request must not count as started after it.
             return True
-        self.begun = True
+        self.started = True
         self._parts.append(data)
         self._buffered_bytes += len(data)
         self.wake()
         return self._buffered_bytes < MAX_BUFFERED_BYTES
 
-    async def arrived(self, enough: Callable[[bytes], bool]) -> bytes:
+    async def peek(self, enough: Callable[[bytes], bool]) -> bytes:
         """Wait for enough bytes, and return them without removing them from the buffer.
 
         Returns fewer bytes if the body ends or the buffer is full. Raises the failure
@@ -133,7 +133,7 @@
             await self._wait()
         return data
 
-    def ask_to_leave(self) -> None:
+    def request_failover(self) -> None:
         """Tell the reader to find another server, while this one continues."""
         self._leave_asked = True
         self.wake()
@@ -167,7 +167,7 @@
 
     def __init__(
         self,
-        wire: Wire,
+        wire: HeadCodec,
         clock: Callable[[], float],
         record_received: Callable[[float], None],
     ):
@@ -176,7 +176,7 @@
         self._record_received = record_received
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._answer: Answer | None = None
+        self._answer: ServerResponse | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._skipping_stale = False
         self._stale_responses = 0
@@ -189,7 +189,7 @@
 
     # Methods for the owner of the connection
 
-    def send(self, data: bytes, answer: Answer) -> None:
+    def send(self, data: bytes, answer: ServerResponse) -> None:
         """Send a request, whose response is added to ``answer``."""
         self._answer = answer
         self._bytes_before_head = 0
@@ -276,8 +276,8 @@
         status = self._parser.get_status_code()
         if answer is None or status < 200:
             return
-        head = self._wire.read_answer(status, self._headers)
-        if head.request != answer.request and not self._accepts_unidentified(head):
+        head = self._wire.parse_response_head(status, self._headers)
+        if head.request_id != answer.request and not self._accepts_unidentified(head):
             self._skipping_stale = True
             return
         self._skipping_stale = False
@@ -305,12 +305,12 @@
             return
         self._finish()
 
-    def _accepts_unidentified(self, head: AnswerHead) -> bool:
+    def _accepts_unidentified(self, head: ResponseHead) -> bool:
         """Whether a response without a request id belongs to the current request.
 
         On a new connection there was no earlier request that it could belong to.
         """
-        return self.unused and not head.request
+        return self.unused and not head.request_id
 
     def _skip_stale(self) -> None:
         """Discard a late second response to an earlier request."""
--- a/packages/wasabideck_forward/wasabideck_forward/server_pool.py
+++ b/packages/wasabideck_forward/wasabideck_forward/server_pool.py
@@ -9,7 +9,7 @@
 from wasabideck_policy.backends import Backend
 from wasabideck_policy.outcomes import WasabideckError
 
-from .messages import Wire
+from .http_heads import HeadCodec
 from .server_connection import ServerConnection
 
 __all__ = ["ServerPool", "Unreachable"]
@@ -43,11 +43,11 @@
 class ServerPool:
     """Idle connections by server; the one used last is used first."""
 
-    wire: Wire
+    wire: HeadCodec
     clock: Callable[[], float]
     _idle: dict[str, list[ServerConnection]] = field(factory=dict)
 
-    async def take(
+    async def acquire(
         self,
         backend: Backend,
         idempotent: bool,
@@ -78,7 +78,7 @@
         """Return the servers to which there are idle connections."""
         return self._idle.keys()
 
-    def give_back(self, backend: Backend, conn: ServerConnection) -> None:
+    def release(self, backend: Backend, conn: ServerConnection) -> None:
         """Keep a connection whose response has ended, if it can be used again."""
         idle = self._idle.setdefault(backend.server, [])
         if conn.usable and len(idle) < MAX_IDLE_CONNECTIONS_PER_SERVER:
@@ -111,7 +111,7 @@
         host, _, port = backend.listed.address.rpartition(":")
 
         def record_received(now: float) -> None:
-            backend.heard_at = now
+            backend.last_received_at = now
 
         def factory() -> ServerConnection:
             return ServerConnection(self.wire, self.clock, record_received)
--- a/packages/wasabideck_lab/wasabideck_lab/__main__.py
+++ b/packages/wasabideck_lab/wasabideck_lab/__main__.py
@@ -10,21 +10,21 @@
 from wasabideck_base.command_line import commands, run_commands
 from wasabideck_base.process import run_process
 
-from . import scenarios_answers, scenarios_tickets  # noqa: F401  (registers scenarios)
+from . import scenarios_requests, scenarios_tickets  # noqa: F401  (registers scenarios)
 from .burst_ablation import ablation
-from .burst_command import bursts
+from .burst_loads import bursts
 from .capacity import MEASUREMENTS, measure_all
-from .claims_run import run_claims
+from .claim_batching import run_claims
 from .demo import DemoFailed, run_demo
 from .distribute_command import decisions, distribute
+from .fault_scenarios import SCENARIOS, run_scenario
 from .faults import FAULTS
-from .faults_run import SCENARIOS, run_scenario
-from .in_force import measure_time_to_effect
 from .load_command import load
-from .losses import losses
 from .overhead import measure_overhead
 from .playground import run_playground
-from .samples import write_samples
+from .request_outcomes import losses
+from .sample_settings import write_samples
+from .time_to_effect import measure_time_to_effect
 
 __all__ = ["main"]
 
--- a/packages/wasabideck_lab/wasabideck_lab/audit.py
+++ b/packages/wasabideck_lab/wasabideck_lab/audit.py
@@ -7,8 +7,8 @@
 
 from attrs import frozen
 
-from .launcher import Lab
-from .traffic import Result, subject_of
+from .caller_traffic import RequestResult, response_subject
+from .lab_fleet import LabFleet
 
 __all__ = ["Audit", "audit"]
 
@@ -55,7 +55,7 @@
         return not any((*violations, self.mixed, self.not_whole))
 
 
-def audit(lab: Lab, results: Iterable[Result]) -> Audit:
+def audit(lab: LabFleet, results: Iterable[RequestResult]) -> Audit:
     """Return the audit: the callers' results compared with the servers' records."""
     results = list(results)
     outcomes = Counter(r.outcome for r in results)
@@ -80,10 +80,10 @@
     )
 
 
-def _runs_by_key(lab: Lab) -> Counter:
+def _runs_by_key(lab: LabFleet) -> Counter:
     runs: Counter = Counter()
-    for plain in lab.plains.values():
-        runs.update(plain.runs)
+    for plain in lab.plain_services.values():
+        runs.update(plain.runs_by_key)
     return runs
 
 
@@ -92,26 +92,26 @@
     return sum(later < earlier for earlier, later in pairs)
 
 
-def _count_mixed(lab: Lab, results: list[Result]) -> int:
+def _count_mixed(lab: LabFleet, results: list[RequestResult]) -> int:
     """Return how many loads were partial or mixed plus how many responses were mixed.
 
     More than one version contributed to a mixed response.
     """
-    mixed_loads = sum(engine.mixed for engine in lab.engines.values())
+    mixed_loads = sum(engine.mixed_loads for engine in lab.engines.values())
     drafts = (r for r in results if r.service == "drafting")
     return mixed_loads + sum(len(_versions(r)) > 1 for r in drafts)
 
 
-def _versions(result: Result) -> set[str]:
+def _versions(result: RequestResult) -> set[str]:
     words = (line["text"].split("-") for line in result.lines if "text" in line)
     return {word[1] for word in words}
 
 
-def _is_complete(lab: Lab, result: Result) -> bool:
+def _is_complete(lab: LabFleet, result: RequestResult) -> bool:
     text = "".join(line.get("text", "") for line in result.lines)
     if result.service != "drafting":
         return f'"{result.key}"' in text
-    tokens = next(iter(lab.engines.values())).tokens
-    subject = subject_of(result.body)
+    tokens = next(iter(lab.engines.values())).tokens_per_response
+    subject = response_subject(result.body)
     expected = "".join(f"{subject}-{result.version}-{i} " for i in range(tokens))
     return text == expected
--- a/packages/wasabideck_lab/wasabideck_lab/burst_ablation.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_ablation.py
@@ -11,12 +11,12 @@
 
 from attrs import evolve, frozen
 from wasabideck_policy import placement
-from wasabideck_policy.fresh_share import FreshShare
-from wasabideck_policy.late_lane import LateLane
+from wasabideck_policy.in_time_share import InTimeShare
+from wasabideck_policy.late_requests import LateRequestLimiter
 
-from .burst_command import LOADS
-from .burst_model import BurstModel, DraftKind, play
-from .burst_policies import Product
+from .burst_loads import LOADS
+from .burst_model import BurstModel, DraftKind, simulate
+from .burst_policies import ProductPolicy
 from .engine_model import EngineCosts
 
 __all__ = ["ablation"]
@@ -51,28 +51,28 @@
 
 
 def _swap_simultaneously(load: BurstModel) -> BurstModel:
-    phases = [evolve(p, swaps=(0.0,) * len(p.swaps)) for p in load.phases]
+    phases = [evolve(p, swap_delays=(0.0,) * len(p.swap_delays)) for p in load.phases]
     return evolve(load, phases=phases)
 
 
 # The keys name the mechanism that is switched off, and are printed.
 SWITCHES: Mapping[str, Switch] = {
     "nothing": Switch(),
-    "draws: all compared": Switch(placement, "DRAWN", 99),
-    "draws: one": Switch(placement, "DRAWN", 1),
+    "draws: all compared": Switch(placement, "SAMPLED_SERVERS", 99),
+    "draws: one": Switch(placement, "SAMPLED_SERVERS", 1),
     # The decay of reported loads with their age.
-    "fading of what was told": Switch(placement, "FADING_SECONDS", 1e6),
+    "fading of what was told": Switch(placement, "LOAD_DECAY_SECONDS", 1e6),
     # The allowance for requests that competing entries send at the same time.
-    "herd": Switch(placement, "HERD_PART", 0.0),
-    "own region first": Switch(placement, "FAR_PART", 0.0),
-    "unread prompts": Switch(placement, "UNREAD_WEIGHT", 0.0),
+    "herd": Switch(placement, "MAX_COMPETING_RATIO", 0.0),
+    "own region first": Switch(placement, "REMOTE_COST_RATIO", 0.0),
+    "unread prompts": Switch(placement, "UNREAD_PROMPT_REQUESTS", 0.0),
     # The limit on requests that are counted as in time.
-    "not ahead of two slots": Switch(placement, "EAGER_PART", 9.0),
-    "limit of queues": Switch(placement, "FULL_PART", 9.0),
+    "not ahead of two slots": Switch(placement, "MAX_IN_TIME_RATIO", 9.0),
+    "limit of queues": Switch(placement, "MAX_QUEUE_RATIO", 9.0),
     # The limit on the share of requests that are sent ahead of others.
-    "sent ahead (all are)": Switch(FreshShare, "draw", _always),
+    "sent ahead (all are)": Switch(InTimeShare, "draw_sent_ahead", _always),
     # The limit on late requests that are sent at the same time.
-    "late ones in turn": Switch(LateLane, "has_room", _always),
+    "late ones in turn": Switch(LateRequestLimiter, "may_send", _always),
     # The shorter interval between engine reports.
     "news ten times a second": Switch(
         change_load=lambda load: evolve(
@@ -147,5 +147,5 @@
 
 
 def _mean_scores(load: BurstModel, seeds: int) -> tuple[float, float]:
-    results = [play(load, Product, seed) for seed in range(seeds)]
+    results = [simulate(load, ProductPolicy, seed) for seed in range(seeds)]
     return mean(r.earned for r in results), mean(r.worst for r in results)
--- a/packages/wasabideck_lab/wasabideck_lab/burst_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_loads.py
@@ -5,9 +5,9 @@
 from statistics import mean, stdev
 
 import orjson
-from wasabideck_policy.waves import DRAIN_SECONDS, wave_delay
+from wasabideck_policy.rollout_waves import DRAIN_SECONDS, rollout_delay
 
-from .burst_model import BurstModel, DraftKind, Phase, play
+from .burst_model import BurstModel, DraftKind, Phase, simulate
 from .burst_policies import POLICIES
 
 __all__ = ["LOADS", "bursts"]
@@ -30,7 +30,7 @@
         Time that is left for the swaps of all engines.
     """
     vms = [f"vm-{i}" for i in range(engines)]
-    return tuple(wave_delay(vm, 2, vms, 0.3, spare_seconds) for vm in vms)
+    return tuple(rollout_delay(vm, 2, vms, 0.3, spare_seconds) for vm in vms)
 
 
 _RAMP_UP = (Phase(0.0, 0.55), Phase(6.0, 0.7), Phase(7.5, 0.85), Phase(9.0))
@@ -101,7 +101,7 @@
 
 
 def _compare(load: str, policy: str, seeds: int) -> dict:
-    results = [play(LOADS[load], POLICIES[policy], seed) for seed in range(seeds)]
+    results = [simulate(LOADS[load], POLICIES[policy], seed) for seed in range(seeds)]
     earned = [result.earned for result in results]
     worst = [result.worst for result in results]
     return {
--- a/packages/wasabideck_lab/wasabideck_lab/burst_model.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_model.py
@@ -15,10 +15,13 @@
 from math import exp, inf, log, sqrt
 
 from attrs import define, field, frozen
-from wasabideck_agent.news_loop import FAR_EVERY, LOOK_SECONDS
-from wasabideck_policy.backends import Backend, Listed, Loaded
-from wasabideck_policy.engine_news import BIG_CHANGE, EngineNews
-from wasabideck_policy.placement import Place
+from wasabideck_agent.engine_reporter import (
+    REMOTE_REPORT_EVERY,
+    REPORT_INTERVAL_SECONDS,
+)
+from wasabideck_policy.backends import Backend, ListedServer, LoadedLayers
+from wasabideck_policy.engine_report import MAJOR_CHANGE_REQUESTS, EngineReport
+from wasabideck_policy.placement import Placement
 
 from .engine_model import Draft, Engine, EngineCosts
 
@@ -29,7 +32,7 @@
     "DraftKind",
     "EntryPolicy",
     "Phase",
-    "play",
+    "simulate",
 ]
 
 # Latency that an entry and the links to it and to an engine add to a first event.
@@ -80,14 +83,14 @@
     engines : int
         Number of engines that serve. With 0 engines all streams are aborted, and their
         callers retry.
-    swaps : sequence of float
+    swap_delays : sequence of float
         When each engine stops for newer weights, seconds after the start of the phase.
     """
 
     starts_at: float
     load_ratio: float = 1.0
     engines: int = 7
-    swaps: Sequence[float] = ()
+    swap_delays: Sequence[float] = ()
 
 
 @frozen
@@ -120,7 +123,7 @@
     seconds: float = 20.0
     max_event_interval_seconds: float = 0.4
     caller_timeout_seconds: float = 3.2
-    report_interval_seconds: float = LOOK_SECONDS
+    report_interval_seconds: float = REPORT_INTERVAL_SECONDS
     weights_load_seconds: float = 0.3
     drain_seconds: float = inf
     retry_delay_seconds: float = 1.0
@@ -173,7 +176,7 @@
 
     def choose(
         self, draft: Draft, backends: list[Backend], now: float, rng: random.Random
-    ) -> Place:
+    ) -> Placement:
         """Return the server for a request and its urgency there, or a time to wait."""
         raise NotImplementedError
 
@@ -221,7 +224,7 @@
     timer_numbers: count = field(factory=count)
     engines_in_pass: set[int] = field(factory=set)
     serving: int = 0
-    last_broadcasts: dict[int, EngineNews] = field(factory=dict)
+    last_broadcasts: dict[int, EngineReport] = field(factory=dict)
 
     def schedule(self, at: float, action: Callable[[float], None]) -> None:
         heapq.heappush(self.timers, (at, next(self.timer_numbers), action))
@@ -240,10 +243,10 @@
         policy = self.policies[entry]
         backends = self.backends[entry][: self.serving]
         placement = policy.choose(draft, backends, now, self.rng)
-        if placement.backend is None and placement.back_in is not None:
+        if placement.backend is None and placement.ready_in is not None:
             # The request waits at the entry.
             self.schedule(
-                now + placement.back_in, lambda t: self.dispatch(draft, entry, t)
+                now + placement.ready_in, lambda t: self.dispatch(draft, entry, t)
             )
             return
         if placement.backend is None:
@@ -254,8 +257,8 @@
             return
         engine = int(placement.backend.server)
         draft.urgency = placement.urgency
-        placement.backend.begin(now)
-        placement.backend.unread.add(draft)
+        placement.backend.add_request(now)
+        placement.backend.unread_prompts.add(draft)
         self.assignments[draft] = (entry, engine)
         self.schedule(
             now + NETWORK_SECONDS / 2, lambda t: self.enqueue(draft, engine, t)
@@ -278,7 +281,7 @@
         self.engines[engine].remove(draft)
         backend = self.backends[entry][engine]
         backend.in_progress -= 1
-        backend.unread.discard(draft)
+        backend.unread_prompts.discard(draft)
         return entry
 
     # Engines
@@ -311,8 +314,8 @@
             if draft.first_at is not None:
                 entry, _ = self.assignments[draft]
                 backend = self.backends[entry][index]
-                backend.unread.discard(draft)
-                backend.hear_load(engine.load + len(ended), now)
+                backend.unread_prompts.discard(draft)
+                backend.apply_load(engine.load + len(ended), now)
                 self.policies[entry].record_first_event(draft, now)
         for draft in ended:
             entry, _ = self.assignments.pop(draft)
@@ -330,18 +333,23 @@
         self.schedule(at, lambda t: self.send_report(index, number + 1, t))
         engine = self.engines[index]
         serving = not engine.swapping and now >= engine.loading_until
-        report = EngineNews(
-            str(index), 1, serving, len(engine.batch), len(engine.queue), named=1
+        report = EngineReport(
+            str(index),
+            1,
+            serving,
+            len(engine.batch),
+            len(engine.queue),
+            newest_version=1,
         )
         last = self.last_broadcasts.get(index)
         is_major = last is None or last.serving != serving
-        is_major = is_major or abs(last.pressed - report.pressed) >= BIG_CHANGE
-        to_all = is_major or number % FAR_EVERY == 0
+        is_major = is_major or abs(last.load - report.load) >= MAJOR_CHANGE_REQUESTS
+        to_all = is_major or number % REMOTE_REPORT_EVERY == 0
         if to_all:
             self.last_broadcasts[index] = report
         for entry in range(self.model.entries):
             if to_all or entry % DATA_CENTRES == index % DATA_CENTRES:
-                self.backends[entry][index].hear(report, now)
+                self.backends[entry][index].apply_report(report, now)
 
     # Phases
 
@@ -349,7 +357,7 @@
         self.serving = phase.engines
         if not phase.engines:
             self.abort_all(now)
-        for index, delay in enumerate(phase.swaps):
+        for index, delay in enumerate(phase.swap_delays):
             self.schedule(now + delay, lambda t, i=index: self.begin_swap(i, t))
 
     def abort_all(self, now: float) -> None:
@@ -368,10 +376,15 @@
         for entry in range(self.model.entries):
             backend = self.backends[entry][index]
             engine = self.engines[index]
-            report = EngineNews(
-                str(index), 1, False, len(engine.batch), len(engine.queue), named=1
+            report = EngineReport(
+                str(index),
+                1,
+                False,
+                len(engine.batch),
+                len(engine.queue),
+                newest_version=1,
             )
-            backend.hear(report, now)
+            backend.apply_report(report, now)
         self.begin_pass(index, now)
         if self.model.drain_seconds < inf:
             at = now + self.model.drain_seconds
@@ -396,18 +409,20 @@
         )
 
 
-def play(
+def simulate(
     model: BurstModel, make_policy: Callable[[BurstModel, str], EntryPolicy], seed: int
 ) -> BurstResult:
     """Simulate a load once and return its result."""
     rng = random.Random(seed)
     max_engines = max(phase.engines for phase in model.phases)
-    loaded = (Loaded(MODEL, 1, 0, 1),)
+    loaded = (LoadedLayers(MODEL, 1, 0, 1),)
 
     def new_backends() -> list[Backend]:
         slots = model.costs.slots
         return [
-            Backend(Listed(str(i), "", str(i), _data_centre(i), slots, loaded=loaded))
+            Backend(
+                ListedServer(str(i), "", str(i), _data_centre(i), slots, loaded=loaded)
+            )
             for i in range(max_engines)
         ]
 
--- a/packages/wasabideck_lab/wasabideck_lab/traffic.py
+++ b/packages/wasabideck_lab/wasabideck_lab/caller_traffic.py
@@ -12,16 +12,16 @@
 import orjson
 from attrs import define, field, frozen
 
-from .launcher import CALLER_TOKEN
+from .lab_fleet import CALLER_TOKEN
 
-__all__ = ["Result", "Traffic"]
+__all__ = ["RequestResult", "Traffic"]
 
 MAX_CONNECTION_ATTEMPTS = 4
 CALL_TIMEOUT_SECONDS = 40.0
 
 
 @frozen
-class Result:
+class RequestResult:
     """The final outcome of one request as seen by its caller.
 
     Attributes
@@ -59,7 +59,7 @@
     rng: random.Random
     requests_per_second: float = 100.0
     deadline_ms: int = 15_000
-    results: list[Result] = field(factory=list)
+    results: list[RequestResult] = field(factory=list)
     sent_count: int = 0
 
     async def run(self, requests: int) -> None:
@@ -88,7 +88,7 @@
         body: str,
         key: str,
         is_retry: bool = False,
-    ) -> Result:
+    ) -> RequestResult:
         """Send one request; on a connection failure, retry at a randomly chosen entry.
 
         ``is_retry`` states that the key was sent before: it raises the number that the
@@ -113,7 +113,7 @@
         except orjson.JSONDecodeError:
             lines, reason = [], f"Malformed{status}"
         outcome = lines[-1] if lines else {"outcome": "unknown", "reason": reason}
-        result = Result(
+        result = RequestResult(
             key,
             service,
             route,
@@ -152,6 +152,6 @@
             return response.status, await response.read(), dict(response.headers)
 
 
-def subject_of(body: str) -> str:
+def response_subject(body: str) -> str:
     """Return the hash of a body that each word of the engine stand-in contains."""
     return hashlib.sha256(body.encode()).hexdigest()[:6]
