--- a/packages/wasabideck_lab/wasabideck_lab/capacity.py
+++ b/packages/wasabideck_lab/wasabideck_lab/capacity.py
@@ -19,19 +19,25 @@
 import xxhash
 from attrs import define, field
 from grpclib.server import Server
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.spread import PeersService, Spread
-from wasabideck_policy.membership import AGENT, ENTRY, Heard, Member
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.ticket_replication import PeersService, TicketReplication
+from wasabideck_policy.membership import AGENT, ENTRY, Member, StartupKnowledge
 from wasabideck_policy.tickets import Assignment, Change, TicketState
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.convert import entries_from
-
-from .demo import SERVICES, first_ticket, submit, wait_in_force, wait_serving
-from .launcher import Lab, Process
-from .process_usage import Usage, usage_over
-from .slopes import Slope, fit
-from .traffic import Traffic
-from .weights import make_weights
+from wasabideck_wire.convert import assignments_to_entries
+
+from .caller_traffic import Traffic
+from .demo import (
+    SERVICES,
+    submit_ticket,
+    wait_in_effect,
+    wait_serving,
+    write_first_ticket,
+)
+from .lab_fleet import LabFleet, LabProcess
+from .line_fit import FittedLine, fit_line
+from .process_usage import Usage, measure_usage
+from .random_weights import generate_weights
 
 __all__ = ["MEASUREMENTS", "measure_all"]
 
@@ -52,7 +58,7 @@
 class _SimulatedPeers:
     """Many addresses at which this process answers as agents or entries."""
 
-    spread: Spread
+    spread: TicketReplication
     servers: list[Server] = field(factory=list)
 
     async def open(self, names: Iterable[str]) -> dict[str, str]:
@@ -74,8 +80,10 @@
 
 
 def _simulated_peers() -> _SimulatedPeers:
-    events = Events("ports", Clock(), time.time)
-    spread = Spread("ports", events, heard=Heard(done=True))
+    events = Events("ports", HybridClock(), time.time)
+    spread = TicketReplication(
+        "ports", events, startup_knowledge=StartupKnowledge(sufficient=True)
+    )
     return _SimulatedPeers(spread)
 
 
@@ -118,7 +126,7 @@
 
 
 async def _measure_idle(
-    servers: int, entries: int, start: Callable[[Lab], Awaitable[Process]]
+    servers: int, entries: int, start: Callable[[LabFleet], Awaitable[LabProcess]]
 ) -> Usage:
     """Return the usage of one idle process.
 
@@ -131,18 +139,18 @@
     """
     simulated = _simulated_peers()
     with tempfile.TemporaryDirectory() as folder:
-        lab = Lab(Path(folder))
+        lab = LabFleet(Path(folder))
         await lab.start_platform()
         try:
             agents = await simulated.open(f"agent-{i}" for i in range(servers))
             for vm, address in agents.items():
-                lab.members.put(Member(vm, AGENT, address, service="drafting"))
+                lab.members.put_member(Member(vm, AGENT, address, service="drafting"))
             peers = await simulated.open(f"other-{i}" for i in range(entries))
             for vm, address in peers.items():
-                lab.members.put(Member(vm, ENTRY, address))
+                lab.members.put_member(Member(vm, ENTRY, address))
             process = await start(lab)
             await asyncio.sleep(SETTLE_SECONDS)
-            return await usage_over(process.process.pid, MEASURED_SECONDS)
+            return await measure_usage(process.subprocess.pid, MEASURED_SECONDS)
         finally:
             await lab.close()
             simulated.close()
@@ -152,12 +160,21 @@
     name: str, sizes: tuple[int, ...], usages: list[Usage], target: float
 ) -> list[dict]:
     slopes = [
-        fit(f"{name}: CPU", "cores", sizes, [u.cpu for u in usages]),
-        fit(f"{name}: resident", "bytes", sizes, [u.resident for u in usages]),
-        fit(f"{name}: received", "bytes/s", sizes, [u.received for u in usages]),
-        fit(f"{name}: sent", "bytes/s", sizes, [u.sent for u in usages]),
+        fit_line(f"{name}: CPU", "cores", sizes, [u.cpu_fraction for u in usages]),
+        fit_line(
+            f"{name}: resident", "bytes", sizes, [u.resident_bytes for u in usages]
+        ),
+        fit_line(
+            f"{name}: received",
+            "bytes/s",
+            sizes,
+            [u.received_bytes_per_second for u in usages],
+        ),
+        fit_line(
+            f"{name}: sent", "bytes/s", sizes, [u.sent_bytes_per_second for u in usages]
+        ),
     ]
-    return [slope.shown(target) for slope in slopes]
+    return [slope.to_row(target) for slope in slopes]
 
 
 async def processes_by_requests() -> list[dict]:
@@ -172,29 +189,33 @@
                 running = asyncio.create_task(traffic.run(int(rate * MEASURED_SECONDS)))
                 usages = await asyncio.gather(
                     *(
-                        usage_over(lab.processes[vm].process.pid, MEASURED_SECONDS)
+                        measure_usage(
+                            lab.processes[vm].subprocess.pid, MEASURED_SECONDS
+                        )
                         for vm in ("entry-1", "draft-1", "draft-2")
                     )
                 )
                 await running
-                entry_cpu.append(usages[0].cpu)
-                agent_cpu.append((usages[1].cpu + usages[2].cpu) / 2)
+                entry_cpu.append(usages[0].cpu_fraction)
+                agent_cpu.append((usages[1].cpu_fraction + usages[2].cpu_fraction) / 2)
         finally:
             await lab.close()
     # A third of the requests are drafts. Two servers share them, so that each server
     # gets a sixth of the requests.
     per_agent = [rate / 6 for rate in rates]
-    slopes: list[tuple[Slope, float]] = [
+    slopes: list[tuple[FittedLine, float]] = [
         (
-            fit("entry: CPU by requests/s", "cores", rates, entry_cpu),
+            fit_line("entry: CPU by requests/s", "cores", rates, entry_cpu),
             REQUESTS_PER_ENTRY,
         ),
         (
-            fit("agent: CPU by drafts/s of 8 tokens", "cores", per_agent, agent_cpu),
+            fit_line(
+                "agent: CPU by drafts/s of 8 tokens", "cores", per_agent, agent_cpu
+            ),
             REQUESTS_PER_SERVER,
         ),
     ]
-    return [slope.shown(target) for slope, target in slopes]
+    return [slope.to_row(target) for slope, target in slopes]
 
 
 async def processes_by_tokens() -> list[dict]:
@@ -206,44 +227,46 @@
         try:
             for count in tokens:
                 for engine in lab.engines.values():
-                    engine.tokens = count
+                    engine.tokens_per_response = count
                 traffic = Traffic(stage, random.Random(count), rate)
                 running = asyncio.create_task(traffic.run(int(rate * MEASURED_SECONDS)))
                 usages = await asyncio.gather(
                     *(
-                        usage_over(lab.processes[vm].process.pid, MEASURED_SECONDS)
+                        measure_usage(
+                            lab.processes[vm].subprocess.pid, MEASURED_SECONDS
+                        )
                         for vm in ("entry-1", "draft-1", "draft-2")
                     )
                 )
                 await running
-                entry_cpu.append(usages[0].cpu)
-                agent_cpu.append(usages[1].cpu + usages[2].cpu)
+                entry_cpu.append(usages[0].cpu_fraction)
+                agent_cpu.append(usages[1].cpu_fraction + usages[2].cpu_fraction)
                 token_rates.append(count * rate / 3)
         finally:
             await lab.close()
-    entry_slope = fit("entry: CPU by tokens/s", "cores", token_rates, entry_cpu)
-    agent_slope = fit("agents: CPU by tokens/s", "cores", token_rates, agent_cpu)
+    entry_slope = fit_line("entry: CPU by tokens/s", "cores", token_rates, entry_cpu)
+    agent_slope = fit_line("agents: CPU by tokens/s", "cores", token_rates, agent_cpu)
     return [
-        entry_slope.shown(870_000 / TARGET_ENTRIES),
-        agent_slope.shown(TOKENS_PER_SERVER),
+        entry_slope.to_row(870_000 / TARGET_ENTRIES),
+        agent_slope.to_row(TOKENS_PER_SERVER),
     ]
 
 
-async def _small_fleet(folder: Path) -> tuple[Lab, Callable[[], list[str]]]:
-    lab = Lab(folder)
+async def _small_fleet(folder: Path) -> tuple[LabFleet, Callable[[], list[str]]]:
+    lab = LabFleet(folder)
     await lab.start_platform()
-    digest = lab.publish(*make_weights("drafter", "v1", 8, 4096, 0))
+    digest = lab.publish(*generate_weights("drafter", "v1", 8, 4096, 0))
     entry = await lab.start_entry("entry-1", SERVICES)
     await asyncio.gather(
         lab.start_engine_vm("draft-1", "drafting"),
         lab.start_engine_vm("draft-2", "drafting"),
-        lab.start_plain_vm("order-1", "orders"),
+        lab.start_plain_service_vm("order-1", "orders"),
     )
-    async with aiohttp.ClientSession(f"http://{entry.http}") as session:
-        await submit(session, first_ticket(folder, digest))
-        await wait_in_force(session, 1, 2)
+    async with aiohttp.ClientSession(f"http://{entry.http_address}") as session:
+        await submit_ticket(session, write_first_ticket(folder, digest))
+        await wait_in_effect(session, 1, 2)
         await wait_serving(session, 3)
-    return lab, lambda: [entry.http]
+    return lab, lambda: [entry.http_address]
 
 
 async def store_by_entries() -> list[dict]:
@@ -256,17 +279,19 @@
 async def store_by_agents() -> list[dict]:
     """Return the slopes of the store's reads per second, by running agents."""
     return await _store_rates(
-        "agents", TARGET_SERVERS, lambda lab, vm: lab.start_plain_vm(vm, "orders")
+        "agents",
+        TARGET_SERVERS,
+        lambda lab, vm: lab.start_plain_service_vm(vm, "orders"),
     )
 
 
 async def _store_rates(
-    name: str, target: float, start: Callable[[Lab, str], Awaitable[Process]]
+    name: str, target: float, start: Callable[[LabFleet, str], Awaitable[LabProcess]]
 ) -> list[dict]:
     sizes, table_rates, list_rates = (2, 4, 8, 16), [], []
     for size in sizes:
         with tempfile.TemporaryDirectory() as folder:
-            lab = Lab(Path(folder))
+            lab = LabFleet(Path(folder))
             await lab.start_platform()
             try:
                 await lab.start_entry("entry-0", SERVICES)
@@ -279,8 +304,8 @@
             finally:
                 await lab.close()
     return [
-        fit(f"table reads by {name}", "1/s", sizes, table_rates).shown(target),
-        fit(f"list reads by {name}", "1/s", sizes, list_rates).shown(target),
+        fit_line(f"table reads by {name}", "1/s", sizes, table_rates).to_row(target),
+        fit_line(f"list reads by {name}", "1/s", sizes, list_rates).to_row(target),
     ]
 
 
@@ -300,11 +325,13 @@
         message_bytes.append(float(_message_bytes(items)))
     target = TARGET_VMS * 3
     return [
-        fit("ticket state: merge of all", "us", sizes, merge_micros).shown(target),
-        fit("ticket state: hash", "us", sizes, hash_micros).shown(target),
-        fit("ticket state: whole on the wire", "bytes", sizes, message_bytes).shown(
+        fit_line("ticket state: merge of all", "us", sizes, merge_micros).to_row(
             target
         ),
+        fit_line("ticket state: hash", "us", sizes, hash_micros).to_row(target),
+        fit_line(
+            "ticket state: whole on the wire", "bytes", sizes, message_bytes
+        ).to_row(target),
     ]
 
 
@@ -316,7 +343,7 @@
 
 
 def _message_bytes(items: list[Assignment]) -> int:
-    return pb.SyncReply(entries=entries_from(items)).ByteSize()
+    return pb.SyncReply(entries=assignments_to_entries(items)).ByteSize()
 
 
 MEASUREMENTS: dict[str, Measurement] = {
--- a/packages/wasabideck_lab/wasabideck_lab/claims_run.py
+++ b/packages/wasabideck_lab/wasabideck_lab/claim_batching.py
@@ -8,13 +8,13 @@
 
 import aiohttp
 from wasabideck_agent.claim_store import ClaimStore
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.http import HttpClient
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.http_client import HttpClient
 from wasabideck_base.table import Table
 from wasabideck_policy.claims import Claim
 
-from .faults import Faults
-from .launcher import serve_standin
+from .faults import FaultInjector
+from .lab_fleet import serve_standin
 from .standin_platform import TableStandin
 
 __all__ = ["run_claims"]
@@ -36,12 +36,12 @@
     senders : int
         Maximum number of concurrent transactions.
     """
-    standin = TableStandin(Faults(random.Random(1), {"slow": table_seconds}))
+    standin = TableStandin(FaultInjector(random.Random(1), {"slow": table_seconds}))
     address, runner = await serve_standin(standin)
     async with aiohttp.ClientSession() as session:
         table = Table(HttpClient(address, 5.0, session))
-        store = ClaimStore(table, Events("lab", Clock(), time.time))
-        store.batch.senders = senders
+        store = ClaimStore(table, Events("lab", HybridClock(), time.time))
+        store.batch.max_senders = senders
         latencies = await _take_all(store, int(rate * seconds), 1 / rate)
     await runner.cleanup()
     latencies.sort()
@@ -60,7 +60,7 @@
     async def take(number: int) -> float:
         started = time.monotonic()
         claim = Claim("org-1", f"key-{number}", "digest", f"attempt-{number}", "vm")
-        await store.take(claim)
+        await store.acquire(claim)
         return time.monotonic() - started
 
     started = time.monotonic()
--- a/packages/wasabideck_lab/wasabideck_lab/decisions.py
+++ b/packages/wasabideck_lab/wasabideck_lab/decision_costs.py
@@ -7,10 +7,10 @@
 import tracemalloc
 from collections.abc import Callable
 
-from wasabideck_policy.distribution import next_fetch, whom_to_ask
+from wasabideck_policy.fetch_policy import choose_fetch, peers_to_query
 from wasabideck_policy.manifests import chunk_digest
 from wasabideck_policy.membership import AGENT, Member
-from wasabideck_policy.views import View, hear, set_members
+from wasabideck_policy.transfer_view import TransferView, record_holdings, set_members
 
 __all__ = ["measure_decisions"]
 
@@ -32,20 +32,22 @@
         Member(f"vm-{i}", AGENT, "", f"region-{i % REGIONS}") for i in range(size)
     ]
     tracemalloc.start()
-    view = View("vm-0", digests, 0.0, "region-0", origin_region="region-0")
+    view = TransferView("vm-0", digests, 0.0, "region-0", origin_region="region-0")
     set_members(view, "manifest", members)
     for member in members:
-        hear(view, member.vm, rng.getrandbits(CHUNKS) & rng.getrandbits(CHUNKS), 0.0)
+        record_holdings(
+            view, member.vm, rng.getrandbits(CHUNKS) & rng.getrandbits(CHUNKS), 0.0
+        )
     view.held = rng.getrandbits(CHUNKS)
     size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
         "vms": size,
         "chunks": CHUNKS,
-        "next_fetch_us": _median_micros(lambda: next_fetch(view, 1.0, rng)),
-        "whom_to_ask_us": _median_micros(lambda: whom_to_ask(view, 1.0, rng)),
+        "next_fetch_us": _median_micros(lambda: choose_fetch(view, 1.0, rng)),
+        "whom_to_ask_us": _median_micros(lambda: peers_to_query(view, 1.0, rng)),
         "hear_us": _median_micros(
-            lambda: hear(view, "vm-1", rng.getrandbits(CHUNKS), 1.0)
+            lambda: record_holdings(view, "vm-1", rng.getrandbits(CHUNKS), 1.0)
         ),
         "set_members_us": _median_micros(
             lambda: set_members(view, "manifest", members), 5
--- a/packages/wasabideck_lab/wasabideck_lab/demo.py
+++ b/packages/wasabideck_lab/wasabideck_lab/demo.py
@@ -10,13 +10,13 @@
 import aiohttp
 import orjson
 from attrs import frozen
-from wasabideck_base.vocabulary import KINDS
+from wasabideck_base.event_kinds import EVENT_KINDS
 from wasabideck_entry.show import show_report
 from wasabideck_entry.timeline import merge_events, show_timeline
 
-from .launcher import CALLER_TOKEN, OPERATOR_TOKEN, Lab
-from .toml import to_toml
-from .weights import make_weights
+from .lab_fleet import CALLER_TOKEN, OPERATOR_TOKEN, LabFleet
+from .random_weights import generate_weights
+from .toml_writer import to_toml
 
 __all__ = ["DemoFailed", "SessionResult", "run_demo", "run_session"]
 
@@ -88,19 +88,19 @@
 
 async def run_session(folder: Path) -> SessionResult:
     """Run the rollout, a draft and an order in separate processes."""
-    lab = Lab(folder)
+    lab = LabFleet(folder)
     await lab.start_platform()
-    digest = lab.publish(*make_weights("drafter", "v1", CHUNKS, CHUNK_BYTES, 0))
+    digest = lab.publish(*generate_weights("drafter", "v1", CHUNKS, CHUNK_BYTES, 0))
     try:
         entry = await lab.start_entry("entry-1", SERVICES)
         await asyncio.gather(
             lab.start_engine_vm("draft-1", "drafting"),
             lab.start_engine_vm("draft-2", "drafting"),
-            lab.start_plain_vm("order-1", "orders"),
+            lab.start_plain_service_vm("order-1", "orders"),
         )
-        async with aiohttp.ClientSession(f"http://{entry.http}") as session:
-            ticket = await submit(session, first_ticket(folder, digest))
-            report = await wait_in_force(session, 1, 2)
+        async with aiohttp.ClientSession(f"http://{entry.http_address}") as session:
+            ticket = await submit_ticket(session, write_first_ticket(folder, digest))
+            report = await wait_in_effect(session, 1, 2)
             await wait_serving(session, 3)
             draft = await call_service(
                 session, "drafting", "brief", "a banner for the fair"
@@ -109,12 +109,13 @@
                 session, "orders", "print", "20 banners", ORDER_KEY
             )
             metrics = {
-                vm: await fetch_metrics(p.http) for vm, p in lab.processes.items()
+                vm: await fetch_metrics(p.http_address)
+                for vm, p in lab.processes.items()
             }
     finally:
         codes = await lab.close()
-    events = [process.events for process in lab.processes.values()]
-    runs = dict(lab.plains["order-1"].runs)
+    events = [process.events_path for process in lab.processes.values()]
+    runs = dict(lab.plain_services["order-1"].runs_by_key)
     return SessionResult(ticket, report, draft, order, events, codes, runs, metrics)
 
 
@@ -133,7 +134,7 @@
         f"end of order {session.order[-1]}": not _is_answered(session.order),
         f"runs of the order {session.order_runs}": session.order_runs != {ORDER_KEY: 1},
         f"unreadable events {merged.unreadable}": bool(merged.unreadable),
-        f"unknown events {kinds - KINDS.keys()}": not kinds <= KINDS.keys(),
+        f"unknown events {kinds - EVENT_KINDS.keys()}": not kinds <= EVENT_KINDS.keys(),
         f"missing metrics {_missing_samples(session.metrics)}": bool(
             _missing_samples(session.metrics)
         ),
@@ -164,7 +165,7 @@
     return lines[-1].get("outcome") == "answered"
 
 
-def first_ticket(folder: Path, digest: str) -> Path:
+def write_first_ticket(folder: Path, digest: str) -> Path:
     """Write ticket 1, drafter v1 on every drafting server, and return its file."""
     change = {
         "scope": "drafting",
@@ -177,7 +178,7 @@
     return path
 
 
-async def submit(session: aiohttp.ClientSession, file: Path) -> dict:
+async def submit_ticket(session: aiohttp.ClientSession, file: Path) -> dict:
     """Submit a ticket and return the response.
 
     Raises
@@ -193,7 +194,7 @@
         return await response.json()
 
 
-async def wait_in_force(
+async def wait_in_effect(
     session: aiohttp.ClientSession, number: int, vms: int
 ) -> list[dict]:
     """Wait until a ticket is in effect on ``vms`` VMs, and return the report."""
--- a/packages/wasabideck_lab/wasabideck_lab/distribute.py
+++ b/packages/wasabideck_lab/wasabideck_lab/distribute.py
@@ -16,10 +16,12 @@
 import orjson
 from wasabideck_policy.manifests import manifest_to_json
 
-from .demo import submit
-from .launcher import OPERATOR_TOKEN, Lab
+from .caller_traffic import Traffic
+from .demo import submit_ticket
+from .lab_fleet import OPERATOR_TOKEN, LabFleet
+from .random_weights import generate_weights
 from .rollout import Plan, Run, lower_bound
-from .rollout_books import (
+from .rollout_measurements import (
     byte_increase,
     count_per_chunk,
     delivery_rows,
@@ -32,9 +34,7 @@
     region_copies,
     verified_at,
 )
-from .toml import to_toml
-from .traffic import Traffic
-from .weights import make_weights
+from .toml_writer import to_toml
 
 __all__ = ["DISTRIBUTION_POLICIES", "run_distribute"]
 
@@ -65,15 +65,17 @@
 
 
 def _create_run(plan: Plan, folder: Path) -> Run:
-    lab = Lab(folder, plan.seed, plan.origin_rate)
-    manifest, chunks = make_weights(
+    lab = LabFleet(folder, plan.seed, plan.origin_rate)
+    manifest, chunks = generate_weights(
         "drafter", "v2", plan.chunks, plan.chunk_bytes, plan.seed
     )
     lab.publish(manifest, chunks)
     rng = random.Random(f"{plan.seed}/distribute")
 
     def entries() -> list[str]:
-        return [p.http for vm, p in lab.processes.items() if vm.startswith("entry")]
+        return [
+            p.http_address for vm, p in lab.processes.items() if vm.startswith("entry")
+        ]
 
     return Run(plan, lab, Traffic(entries, rng), rng, manifest)
 
@@ -82,7 +84,7 @@
     plan, lab = run.plan, run.lab
     await lab.start_platform()
     lab.members.faults.active["lag"] = MEMBERS_LAG_SECONDS
-    first = lab.publish(*make_weights("drafter", "v1", 2, 1024, plan.seed))
+    first = lab.publish(*generate_weights("drafter", "v1", 2, 1024, plan.seed))
     for index in range(ENTRY_COUNT):
         await lab.start_entry(f"entry-{index + 1}", SERVICES, region="region-1")
     run.vms = [f"draft-{index + 1:04d}" for index in range(plan.replicas)]
@@ -158,13 +160,13 @@
     path = run.lab.folder / f"ticket-{number}.toml"
     path.write_text(to_toml({"number": number, "note": version, "change": [change]}))
     entry = run.lab.processes["entry-1"]
-    async with aiohttp.ClientSession(f"http://{entry.http}") as session:
-        await submit(session, path)
+    async with aiohttp.ClientSession(f"http://{entry.http_address}") as session:
+        await submit_ticket(session, path)
 
 
 async def _measure(run: Run) -> dict:
     for process in [p for vm, p in run.lab.processes.items() if "entry" in vm]:
-        await _wait_until_serving(f"http://{process.http}")
+        await _wait_until_serving(f"http://{process.http_address}")
     live_traffic = asyncio.create_task(_send_live_requests(run))
     await asyncio.sleep(run.plan.baseline_seconds)
     before = await link_bytes(run)
@@ -267,7 +269,7 @@
         await asyncio.sleep(max(0.0, started + delay - time.monotonic()))
         run.killed.add(vm)
         run.lab.processes[vm].kill()
-        run.lab.members.remove(vm)
+        run.lab.members.remove_member(vm)
         _log(f"killed {vm}")
 
 
--- a/packages/wasabideck_lab/wasabideck_lab/distribute_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/distribute_command.py
@@ -1,4 +1,4 @@
-"""Commands ``distribute`` and ``decisions``."""
+"""Commands ``distribute`` and ``decision_costs``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import orjson
 
-from .decisions import measure_decisions
+from .decision_costs import measure_decisions
 from .distribute import DISTRIBUTION_POLICIES, run_distribute
 from .plot import draw_svg
 from .rollout import Plan
--- a/packages/wasabideck_lab/wasabideck_lab/engine_host.py
+++ b/packages/wasabideck_lab/wasabideck_lab/engine_host.py
@@ -12,7 +12,7 @@
 from wasabideck_base.process import announce_ready, run_process
 from wasabideck_policy.manifests import manifest_from_json
 
-from .faults import Faults
+from .faults import FaultInjector
 from .standin_servers import EngineStandin
 
 __all__ = ["main"]
@@ -26,7 +26,8 @@
         for digest, text in cfg["manifests"].items()
     }
     engines = {
-        vm: EngineStandin(Faults(random.Random(vm)), manifests) for vm in cfg["vms"]
+        vm: EngineStandin(FaultInjector(random.Random(vm)), manifests)
+        for vm in cfg["vms"]
     }
     app = web.Application(client_max_size=MAX_BODY_BYTES)
     for vm, engine in engines.items():
@@ -36,7 +37,7 @@
 
     async def list_engines(req: web.Request) -> web.Response:
         rows = {
-            vm: {"mixed": engine.mixed, "loaded": asdict(engine.loaded)}
+            vm: {"mixed": engine.mixed_loads, "loaded": asdict(engine.loaded)}
             for vm, engine in engines.items()
         }
         return web.json_response(rows)
--- a/packages/wasabideck_lab/wasabideck_lab/faults_run.py
+++ b/packages/wasabideck_lab/wasabideck_lab/fault_scenarios.py
@@ -12,13 +12,19 @@
 from attrs import asdict, define, evolve, field
 
 from .audit import Audit, audit
-from .demo import SERVICES, first_ticket, submit, wait_in_force, wait_serving
-from .launcher import Lab
+from .caller_traffic import Traffic
+from .demo import (
+    SERVICES,
+    submit_ticket,
+    wait_in_effect,
+    wait_serving,
+    write_first_ticket,
+)
+from .lab_fleet import LabFleet
+from .random_weights import generate_weights
 from .relay import Relay
-from .traffic import Traffic
-from .weights import make_weights
 
-__all__ = ["SCENARIOS", "Stage", "run_scenario", "scenario"]
+__all__ = ["SCENARIOS", "ScenarioContext", "run_scenario", "register_scenario"]
 
 REQUESTS = 1000
 CHUNKS = 32
@@ -27,13 +33,13 @@
 TOKEN_SECONDS = 0.02
 PLAIN_SECONDS = 0.1
 
-Scenario = Callable[["Stage"], Awaitable[None]]
+Scenario = Callable[["ScenarioContext"], Awaitable[None]]
 
 SCENARIOS: dict[str, Scenario] = {}
 
 
 @define
-class Stage:
+class ScenarioContext:
     """A fleet with ticket 1 in effect, and the traffic sent while faults are active.
 
     Attributes
@@ -48,7 +54,7 @@
         Relays in front of agents, by VM.
     """
 
-    lab: Lab
+    lab: LabFleet
     traffic: Traffic
     rng: random.Random
     folder: Path
@@ -57,13 +63,15 @@
     figures: dict[str, float] = field(factory=dict)
     relays: dict[str, Relay] = field(factory=dict)
 
-    async def relay(self, *vms: str) -> None:
+    async def insert_relays(self, *vms: str) -> None:
         """Put a relay in front of agents, and replace their addresses on the list."""
         for vm in vms:
-            relay = Relay(lambda vm=vm: self.lab.processes[vm].inner)
+            relay = Relay(lambda vm=vm: self.lab.processes[vm].inner_address)
             await relay.start()
             self.relays[vm] = relay
-            self.lab.members.put(evolve(self.lab.member(vm), address=relay.address))
+            self.lab.members.put_member(
+                evolve(self.lab.listed_member(vm), address=relay.address)
+            )
 
     def kill(self, *vms: str) -> None:
         """Kill the processes of VMs."""
@@ -71,28 +79,28 @@
             self.killed.add(vm)
             self.lab.processes[vm].kill()
 
-    async def freeze(self, seconds: float, *vms: str) -> None:
+    async def suspend(self, seconds: float, *vms: str) -> None:
         """Suspend the processes of VMs for some seconds."""
         for vm in vms:
-            self.lab.processes[vm].freeze()
+            self.lab.processes[vm].suspend()
         await asyncio.sleep(seconds)
         for vm in vms:
-            self.lab.processes[vm].thaw()
+            self.lab.processes[vm].resume()
 
-    def entries(self) -> list[str]:
+    def entry_vms(self) -> list[str]:
         """Return the VM names of all entries."""
         return sorted(vm for vm in self.lab.processes if vm.startswith("entry"))
 
-    def any_session(self) -> aiohttp.ClientSession:
+    def unbound_session(self) -> aiohttp.ClientSession:
         """Return a client session for requests to any entry."""
         return aiohttp.ClientSession()
 
-    def session(self, vm: str = "entry-1") -> aiohttp.ClientSession:
+    def entry_session(self, vm: str = "entry-1") -> aiohttp.ClientSession:
         """Return a client session for requests to one entry."""
-        return aiohttp.ClientSession(f"http://{self.lab.processes[vm].http}")
+        return aiohttp.ClientSession(f"http://{self.lab.processes[vm].http_address}")
 
 
-def scenario(name: str) -> Callable[[Scenario], Scenario]:
+def register_scenario(name: str) -> Callable[[Scenario], Scenario]:
     """Return a decorator that registers a scenario under a name."""
 
     def register(function: Scenario) -> Scenario:
@@ -121,7 +129,7 @@
 
 
 def _result_row(
-    name: str, seed: int, result: Audit, stage: Stage, exit_codes: dict
+    name: str, seed: int, result: Audit, stage: ScenarioContext, exit_codes: dict
 ) -> dict:
     for vm, code in exit_codes.items():
         if code and vm not in stage.killed:
@@ -131,26 +139,28 @@
     return row | {"problems": stage.problems, "figures": stage.figures}
 
 
-async def _start_stage(folder: Path, seed: int, rate: float) -> Stage:
-    lab = Lab(folder, seed, token_seconds=TOKEN_SECONDS, plain_seconds=PLAIN_SECONDS)
+async def _start_stage(folder: Path, seed: int, rate: float) -> ScenarioContext:
+    lab = LabFleet(
+        folder, seed, token_seconds=TOKEN_SECONDS, plain_seconds=PLAIN_SECONDS
+    )
     await lab.start_platform()
-    digest = lab.publish(*make_weights("drafter", "v1", CHUNKS, CHUNK_BYTES, seed))
+    digest = lab.publish(*generate_weights("drafter", "v1", CHUNKS, CHUNK_BYTES, seed))
     await asyncio.gather(*(lab.start_entry(f"entry-{i}", SERVICES) for i in (1, 2, 3)))
     await asyncio.gather(
         *(lab.start_engine_vm(f"draft-{i}", "drafting") for i in (1, 2, 3)),
-        *(lab.start_plain_vm(f"order-{i}", "orders") for i in (1, 2, 3)),
+        *(lab.start_plain_service_vm(f"order-{i}", "orders") for i in (1, 2, 3)),
     )
     rng = random.Random(seed)
 
     def entry_addresses() -> list[str]:
         entries = (p for vm, p in lab.processes.items() if vm.startswith("entry"))
-        return [p.http for p in entries if p.process.returncode is None]
-
-    stage = Stage(lab, Traffic(entry_addresses, rng, rate), rng, folder)
-    async with stage.session() as session:
-        await submit(session, first_ticket(folder, digest))
-        await wait_in_force(session, 1, 3)
-    for vm in stage.entries():
-        async with stage.session(vm) as session:
+        return [p.http_address for p in entries if p.subprocess.returncode is None]
+
+    stage = ScenarioContext(lab, Traffic(entry_addresses, rng, rate), rng, folder)
+    async with stage.entry_session() as session:
+        await submit_ticket(session, write_first_ticket(folder, digest))
+        await wait_in_effect(session, 1, 3)
+    for vm in stage.entry_vms():
+        async with stage.entry_session(vm) as session:
             await wait_serving(session, 6)
     return stage
--- a/packages/wasabideck_lab/wasabideck_lab/faults.py
+++ b/packages/wasabideck_lab/wasabideck_lab/faults.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from attrs import define, field
 
-__all__ = ["FAULTS", "Faults"]
+__all__ = ["FAULTS", "FaultInjector"]
 
 FAULTS = {
     "down": "any but plain: every request gets the response 503",
@@ -30,7 +30,7 @@
 
 
 @define
-class Faults:
+class FaultInjector:
     """Faults of one stand-in.
 
     Attributes
@@ -50,11 +50,11 @@
         """Return a fault's text, or an empty string if it is off."""
         return str(self.active.get(name, ""))
 
-    def strikes(self, name: str) -> bool:
+    def occurs(self, name: str) -> bool:
         """Whether a fault that affects a fraction of the cases occurs now."""
         return name in self.active and self.rng.random() < self.value(name)
 
-    async def delay(self) -> None:
+    async def apply_delay_or_refuse(self) -> None:
         """Apply the faults ``slow`` and ``down``: wait, or raise the response 503."""
         if self.value("slow"):
             await asyncio.sleep(self.value("slow"))
--- a/packages/wasabideck_lab/wasabideck_lab/launcher.py
+++ b/packages/wasabideck_lab/wasabideck_lab/lab_fleet.py
@@ -15,13 +15,13 @@
 from wasabideck_policy.manifests import Manifest
 from wasabideck_policy.membership import AGENT, ENTRY, Member
 
-from .faults import Faults
-from .pacing import Pacer
-from .standin_platform import MembersStandin, TableStandin, WeightsStandin
+from .faults import FaultInjector
+from .link_pacing import Pacer
+from .standin_platform import MembersStandin, OriginStandin, TableStandin
 from .standin_servers import EngineStandin, PlainStandin
-from .toml import to_toml
+from .toml_writer import to_toml
 
-__all__ = ["Lab", "Process", "serve_standin"]
+__all__ = ["LabFleet", "LabProcess", "serve_standin"]
 
 READY_TIMEOUT_SECONDS = 30.0
 STOP_TIMEOUT_SECONDS = 30.0
@@ -43,14 +43,14 @@
 
 
 @define
-class Process:
+class LabProcess:
     """A subprocess, either an entry or an agent, that the lab has started.
 
     Attributes
     ----------
-    inner, http : str
+    inner_address, http_address : str
         Addresses at which it serves its peers, and HTTP.
-    events : Path
+    events_path : Path
         File to which it writes its events.
     binary : str
         Name of the binary.
@@ -59,39 +59,39 @@
     """
 
     vm: str
-    process: asyncio.subprocess.Process
-    inner: str
-    http: str
-    events: Path
+    subprocess: asyncio.subprocess.Process
+    inner_address: str
+    http_address: str
+    events_path: Path
     binary: str = ""
     settings: dict = field(factory=dict)
 
     def kill(self) -> None:
         """Kill the process, as when its VM fails."""
-        self.process.kill()
+        self.subprocess.kill()
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Suspend the process."""
-        self.process.send_signal(signal.SIGSTOP)
+        self.subprocess.send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume a suspended process."""
-        self.process.send_signal(signal.SIGCONT)
+        self.subprocess.send_signal(signal.SIGCONT)
 
     async def stop(self) -> int:
         """Terminate the process gracefully, and return its exit code."""
-        if self.process.returncode is None:
-            self.process.terminate()
-        return await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_SECONDS)
+        if self.subprocess.returncode is None:
+            self.subprocess.terminate()
+        return await asyncio.wait_for(self.subprocess.wait(), STOP_TIMEOUT_SECONDS)
 
 
 @define
-class Lab:
+class LabFleet:
     """A small fleet: stand-ins in this process, and real processes on loopback.
 
     Attributes
     ----------
-    origin_rate : float
+    origin_bytes_per_second : float
         Rate of the weights' origin in bytes per second; 0 for no limit.
     token_seconds, plain_seconds : float
         Time that an engine takes for a token, and a plain service for a call.
@@ -107,38 +107,40 @@
         Addresses of the backend servers, by VM.
     manifests : dict
         Published manifests, by digest.
-    engines, plains, processes : dict
+    engines, plain_services, processes : dict
         Engines, plain services and processes, by VM.
     """
 
     folder: Path
     seed: int = 0
-    origin_rate: float = 0.0
+    origin_bytes_per_second: float = 0.0
     token_seconds: float = 0.005
     plain_seconds: float = 0.005
     tls: dict[str, str] | None = None
     table: TableStandin = field(init=False)
     members: MembersStandin = field(init=False)
-    weights: WeightsStandin = field(init=False)
+    weights: OriginStandin = field(init=False)
     entry_settings: dict = field(factory=dict)
     server_settings: dict[str, dict] = field(factory=dict)
     addresses: dict[str, str] = field(factory=dict)
     server_addresses: dict[str, str] = field(factory=dict)
     manifests: dict[str, Manifest] = field(factory=dict)
     engines: dict[str, EngineStandin] = field(factory=dict)
-    plains: dict[str, PlainStandin] = field(factory=dict)
-    processes: dict[str, Process] = field(factory=dict)
+    plain_services: dict[str, PlainStandin] = field(factory=dict)
+    processes: dict[str, LabProcess] = field(factory=dict)
     _runners: list = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         """Create the platform's stand-ins."""
         self.table = TableStandin(self.faults("table"))
         self.members = MembersStandin(self.faults("members"))
-        self.weights = WeightsStandin(self.faults("weights"), Pacer(self.origin_rate))
+        self.weights = OriginStandin(
+            self.faults("weights"), Pacer(self.origin_bytes_per_second)
+        )
 
-    def faults(self, name: str) -> Faults:
+    def faults(self, name: str) -> FaultInjector:
         """Return a stand-in's faults, whose randomness depends on the lab's seed."""
-        return Faults(random.Random(f"{self.seed}/{name}"))
+        return FaultInjector(random.Random(f"{self.seed}/{name}"))
 
     async def start_platform(self) -> None:
         """Serve the platform's stand-ins."""
@@ -153,7 +155,7 @@
 
     async def start_entry(
         self, vm: str, services: list[dict], **location: str
-    ) -> Process:
+    ) -> LabProcess:
         """Start an entry process and put its VM on the platform's list."""
         settings = self._common_settings(vm, **location) | {
             "services": services,
@@ -162,28 +164,34 @@
         }
         settings |= self.entry_settings
         process = await self._start_process(vm, "wasabideck", settings)
-        self.members.put(Member(vm, ENTRY, process.inner, **_location(location)))
+        self.members.put_member(
+            Member(vm, ENTRY, process.inner_address, **_location(location))
+        )
         return process
 
-    async def start_engine_vm(self, vm: str, service: str, **location: str) -> Process:
+    async def start_engine_vm(
+        self, vm: str, service: str, **location: str
+    ) -> LabProcess:
         """Start a model engine and the agent beside it."""
         engine = EngineStandin(self.faults(vm), self.manifests, self.token_seconds)
         self.engines[vm] = engine
         return await self._start_agent(vm, service, "model", engine, location)
 
-    async def start_plain_vm(self, vm: str, service: str, **location: str) -> Process:
+    async def start_plain_service_vm(
+        self, vm: str, service: str, **location: str
+    ) -> LabProcess:
         """Start a plain service and the agent beside it."""
         plain = PlainStandin(self.faults(vm), self.plain_seconds)
-        self.plains[vm] = plain
+        self.plain_services[vm] = plain
         return await self._start_agent(vm, service, "plain", plain, location)
 
-    def member(self, vm: str) -> Member:
+    def listed_member(self, vm: str) -> Member:
         """Return a VM's current entry on the platform's list."""
-        return self.members.newest()[vm]
+        return self.members.current_members()[vm]
 
     async def _start_agent(
         self, vm: str, service: str, kind: str, standin: object, location: dict
-    ) -> Process:
+    ) -> LabProcess:
         url = self.server_addresses[vm] = await self._serve(standin)
         server = {"service": service, "url": url, "kind": kind}
         server |= self.server_settings.get(service, {})
@@ -191,7 +199,7 @@
 
     async def start_agent(
         self, vm: str, extra: dict, program: tuple[str, ...] = (), **location: str
-    ) -> Process:
+    ) -> LabProcess:
         """Start the agent of a server that already runs.
 
         Parameters
@@ -207,15 +215,15 @@
         service = extra["server"]["service"]
         process = await self._start_process(vm, "wasabideck-agent", settings, program)
         member = Member(
-            vm, AGENT, process.inner, service=service, **_location(location)
+            vm, AGENT, process.inner_address, service=service, **_location(location)
         )
-        self.members.put(member)
+        self.members.put_member(member)
         return process
 
-    async def restart(self, vm: str) -> Process:
+    async def restart(self, vm: str) -> LabProcess:
         """Restart the terminated process of a VM at its previous addresses."""
         previous = self.processes[vm]
-        addresses = {"inner": previous.inner, "http": previous.http}
+        addresses = {"inner": previous.inner_address, "http": previous.http_address}
         settings = previous.settings | {
             "process": previous.settings["process"] | addresses
         }
@@ -245,7 +253,7 @@
 
     async def _start_process(
         self, vm: str, binary: str, settings: dict, program: tuple[str, ...] = ()
-    ) -> Process:
+    ) -> LabProcess:
         path = self.folder / f"{vm}.toml"
         path.write_text(to_toml(settings))
         # The binaries are in the same directory as the interpreter that runs the lab.
@@ -260,7 +268,7 @@
         line = await asyncio.wait_for(child.stdout.readline(), READY_TIMEOUT_SECONDS)
         ready = orjson.loads(line)["ready"]
         events = Path(settings["process"]["events"])
-        process = Process(
+        process = LabProcess(
             vm, child, ready["inner"], ready["http"], events, binary, settings
         )
         self.processes[vm] = process
--- a/packages/wasabideck_lab/wasabideck_lab/slopes.py
+++ b/packages/wasabideck_lab/wasabideck_lab/line_fit.py
@@ -6,11 +6,11 @@
 
 from attrs import asdict, frozen
 
-__all__ = ["Slope", "fit"]
+__all__ = ["FittedLine", "fit_line"]
 
 
 @frozen
-class Slope:
+class FittedLine:
     """A least-squares line through measured points.
 
     Attributes
@@ -35,14 +35,14 @@
         """Return the value of the line at a size."""
         return self.base + self.per_unit * size
 
-    def shown(self, target: float) -> dict:
+    def to_row(self, target: float) -> dict:
         """Return the line as a dict, with its value at the target size."""
         return asdict(self) | {"target": target, "at_target": self.value_at(target)}
 
 
-def fit(
+def fit_line(
     quantity: str, unit: str, sizes: Sequence[float], values: Sequence[float]
-) -> Slope:
+) -> FittedLine:
     """Return the line through at least four sizes; raise ValueError on fewer."""
     if len(sizes) < 4:
         raise ValueError(f"{quantity}: {len(sizes)} sizes; at least four are needed")
@@ -54,6 +54,6 @@
     base = mean_y - per_unit * mean_x
     max_value = max(abs(y) for y in values) or 1.0
     max_distance = max(abs(y - base - per_unit * x) for x, y in pairs) / max_value
-    return Slope(
+    return FittedLine(
         quantity, unit, tuple(sizes), tuple(values), per_unit, base, max_distance
     )
--- a/packages/wasabideck_lab/wasabideck_lab/load.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load.py
@@ -18,9 +18,10 @@
 import orjson
 from attrs import define, field
 
-from .demo import first_ticket, submit, wait_in_force, wait_serving
-from .launcher import Lab
-from .load_mix import (
+from .demo import submit_ticket, wait_in_effect, wait_serving, write_first_ticket
+from .lab_fleet import LabFleet
+from .load_report import RequestRecord, summarize
+from .load_workload import (
     DEPLOYMENTS,
     ENGINE_CAPACITY,
     ORGANISATION_SHARES,
@@ -28,10 +29,9 @@
     Arrival,
     Deployment,
 )
-from .load_mix import arrivals as draw_arrivals
-from .load_report import RequestRecord, summarize
+from .load_workload import draw_arrivals as draw_arrivals
+from .random_weights import generate_weights
 from .standin_batch import Batch
-from .weights import make_weights
 
 __all__ = ["LOAD_FAULTS", "measure_load"]
 
@@ -51,7 +51,7 @@
     """A load run against one fleet of processes."""
 
     deployment: Deployment
-    lab: Lab
+    lab: LabFleet
     seconds: float
     sessions: list[aiohttp.ClientSession] = field(factory=list)
     notes: dict[str, float] = field(factory=dict)
@@ -79,7 +79,7 @@
                 lab.server_settings[service] = {"reports_load": False, "capacity": 32}
         await lab.start_platform()
         digest = lab.publish(
-            *make_weights("drafter", "v1", CHUNK_COUNT, CHUNK_BYTES, seed)
+            *generate_weights("drafter", "v1", CHUNK_COUNT, CHUNK_BYTES, seed)
         )
         services = deployment.services()
         locations = [_location(region) for region in deployment.regions]
@@ -92,11 +92,13 @@
         for service, count in deployment.plain.items():
             for i in range(count):
                 vm = f"{service}-{i}"
-                await lab.start_plain_vm(vm, service, **locations[i % len(locations)])
+                await lab.start_plain_service_vm(
+                    vm, service, **locations[i % len(locations)]
+                )
         self._set_service_times()
         async with self.session(0) as session:
-            await submit(session, first_ticket(lab.folder, digest))
-            await wait_in_force(session, 1, deployment.drafting)
+            await submit_ticket(session, write_first_ticket(lab.folder, digest))
+            await wait_in_effect(session, 1, deployment.drafting)
         for region in range(len(locations)):
             async with self.session(region) as session:
                 await wait_serving(session, self.server_count())
@@ -107,14 +109,14 @@
         )
         for engine, speed in pairs:
             engine.batch = Batch(self.deployment.costs, ENGINE_CAPACITY, speed)
-            engine.tokens = TOKENS_PER_RESPONSE
-        for plain in self.lab.plains.values():
-            plain.seconds = PLAIN_CALL_SECONDS
+            engine.tokens_per_response = TOKENS_PER_RESPONSE
+        for plain in self.lab.plain_services.values():
+            plain.call_seconds = PLAIN_CALL_SECONDS
             plain.slots = asyncio.Semaphore(PLAIN_SLOT_COUNT)
 
     def session(self, region: int) -> aiohttp.ClientSession:
         """Return a client session that connects to the entry of a region."""
-        http = self.lab.processes[f"entry-{region}"].http
+        http = self.lab.processes[f"entry-{region}"].http_address
         connector = aiohttp.TCPConnector(limit=0)
         return aiohttp.ClientSession(f"http://{http}", connector=connector)
 
@@ -124,7 +126,9 @@
         started = time.monotonic()
         tasks = []
         for arrival in arrivals:
-            await asyncio.sleep(max(0.0, started + arrival.due - time.monotonic()))
+            await asyncio.sleep(
+                max(0.0, started + arrival.due_seconds - time.monotonic())
+            )
             tasks.append(
                 asyncio.create_task(_send_request(self.sessions, arrival, started))
             )
@@ -142,14 +146,14 @@
     for offset in range(len(sessions)):
         session = sessions[(arrival.region + offset) % len(sessions)]
         try:
-            await _post(session, record, started + arrival.due)
+            await _post(session, record, started + arrival.due_seconds)
             break
         except aiohttp.ClientConnectorError:
             record.reason = "NoEntry"
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             record.reason = type(exc).__name__
             break
-    record.total_seconds = time.monotonic() - started - arrival.due
+    record.total_seconds = time.monotonic() - started - arrival.due_seconds
     return record
 
 
@@ -160,10 +164,10 @@
     headers = {
         "authorization": f"Bearer {_token(arrival.organisation)}",
         "idempotency-key": arrival.idempotency_key,
-        "x-deadline-ms": str(int(kind.deadline * 1000)),
+        "x-deadline-ms": str(int(kind.deadline_seconds * 1000)),
     }
     path = f"/v1/services/{kind.service}/{kind.route}"
-    timeout = aiohttp.ClientTimeout(total=kind.deadline + CLIENT_GRACE_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=kind.deadline_seconds + CLIENT_GRACE_SECONDS)
     body = arrival.body.encode()
     last_event_at = 0.0
     async with session.post(
@@ -216,9 +220,9 @@
 async def _freeze(run: _LoadRun) -> None:
     """Suspend one drafting agent in the middle third of the run, then resume it."""
     await asyncio.sleep(run.seconds / 3)
-    run.lab.processes["draft-0"].freeze()
+    run.lab.processes["draft-0"].suspend()
     await asyncio.sleep(run.seconds / 3)
-    run.lab.processes["draft-0"].thaw()
+    run.lab.processes["draft-0"].resume()
 
 
 async def _store_down(run: _LoadRun) -> None:
@@ -237,7 +241,7 @@
     run.lab.table.faults.active["down"] = 1.0
     entry = run.lab.processes["entry-0"]
     entry.kill()
-    await entry.process.wait()
+    await entry.subprocess.wait()
     started = time.monotonic()
     services, region = run.deployment.services(), run.deployment.regions[0]
     await run.lab.start_entry("entry-0", services, **_location(region))
@@ -269,7 +273,7 @@
     rng = random.Random(f"{seed}/{burst}")
     arrivals = list(draw_arrivals(selected, burst, WARMUP_SECONDS + seconds, rng))
     with tempfile.TemporaryDirectory() as folder:
-        run = _LoadRun(selected, Lab(Path(folder), seed), seconds)
+        run = _LoadRun(selected, LabFleet(Path(folder), seed), seconds)
         try:
             await run.start(policy, seed)
             reads: list[int] = []
@@ -290,7 +294,7 @@
         "seed": seed,
         "capacity": round(selected.drafting_capacity(), 1),
     }
-    counted = [r for r in records if r.arrival.due >= WARMUP_SECONDS]
+    counted = [r for r in records if r.arrival.due_seconds >= WARMUP_SECONDS]
     row |= summarize(counted, seconds) | _engine_figures(run)
     row["attempts_per_request"] = round(attempts / max(1, len(records)), 3)
     row["store_reads_per_second"] = round(sum(reads) / max(1, len(reads)), 1)
@@ -315,7 +319,7 @@
 
 def _engine_figures(run: _LoadRun) -> dict:
     engines = [run.lab.engines[vm] for vm in run.engine_vms()]
-    runs = [sum(engine.runs.values()) for engine in engines]
+    runs = [sum(engine.runs_by_attempt.values()) for engine in engines]
     hits = sum(engine.batch.hits for engine in engines)
     misses = sum(engine.batch.misses for engine in engines)
     mean = sum(runs) / len(runs)
@@ -326,7 +330,7 @@
 
 
 def _count_attempts(run: _LoadRun) -> int:
-    texts = (run.lab.processes[vm].events.read_text() for vm in run.entry_vms())
+    texts = (run.lab.processes[vm].events_path.read_text() for vm in run.entry_vms())
     return sum(text.count('"attempt.sent"') for text in texts)
 
 
--- a/packages/wasabideck_lab/wasabideck_lab/load_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load_command.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable
 
 import orjson
-from wasabideck_policy.routing import POLICIES
+from wasabideck_policy.load_balancing import POLICIES
 
 from .load import LOAD_FAULTS, measure_load
-from .load_mix import DEPLOYMENTS
+from .load_workload import DEPLOYMENTS
 
 __all__ = ["load"]
 
--- a/packages/wasabideck_lab/wasabideck_lab/load_report.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load_report.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 from hdrh.histogram import HdrHistogram
 
-from .load_mix import Arrival
+from .load_workload import Arrival
 
 __all__ = ["RequestRecord", "fair_shares", "jains_index", "percentiles", "summarize"]
 
@@ -33,7 +33,7 @@
         """Whether the request was answered in full before its deadline."""
         return (
             self.outcome == "answered"
-            and self.total_seconds <= self.arrival.kind.deadline
+            and self.total_seconds <= self.arrival.kind.deadline_seconds
         )
 
 
--- a/packages/wasabideck_lab/wasabideck_lab/load_mix.py
+++ b/packages/wasabideck_lab/wasabideck_lab/load_workload.py
@@ -9,7 +9,7 @@
 
 from .standin_batch import PREFIX_BYTES, Costs
 
-__all__ = ["DEPLOYMENTS", "Arrival", "Deployment", "RequestKind", "arrivals"]
+__all__ = ["DEPLOYMENTS", "Arrival", "Deployment", "RequestKind", "draw_arrivals"]
 
 TOKENS_PER_RESPONSE = 12
 ENGINE_CAPACITY = 8
@@ -31,7 +31,7 @@
     priority: int
     share: float
     repeatable: bool = True
-    deadline: float = 6.0
+    deadline_seconds: float = 6.0
 
     @property
     def label(self) -> str:
@@ -115,11 +115,11 @@
 
     Attributes
     ----------
-    due : float
+    due_seconds : float
         Seconds after the start of the run.
     """
 
-    due: float
+    due_seconds: float
     kind: RequestKind
     organisation: str
     body: str
@@ -127,7 +127,7 @@
     region: int
 
 
-def arrivals(
+def draw_arrivals(
     deployment: Deployment, burst: float, seconds: float, rng: random.Random
 ) -> Iterator[Arrival]:
     """Yield Poisson arrivals at ``burst`` times the request rate at full capacity."""
--- a/packages/wasabideck_lab/wasabideck_lab/overhead.py
+++ b/packages/wasabideck_lab/wasabideck_lab/overhead.py
@@ -14,14 +14,14 @@
 from .demo import (
     SERVICES,
     call_service,
-    first_ticket,
-    submit,
-    wait_in_force,
+    submit_ticket,
+    wait_in_effect,
     wait_serving,
+    write_first_ticket,
 )
-from .launcher import Lab
+from .lab_fleet import LabFleet
 from .process_usage import resident_bytes
-from .weights import make_weights
+from .random_weights import generate_weights
 
 __all__ = ["measure_overhead"]
 
@@ -34,7 +34,7 @@
 async def measure_overhead() -> dict:
     """Return the figures of one run; latencies in milliseconds, memory in bytes."""
     with tempfile.TemporaryDirectory() as folder:
-        lab = Lab(Path(folder))
+        lab = LabFleet(Path(folder))
         await lab.start_platform()
         try:
             starts = await _measure_starts(lab)
@@ -44,7 +44,7 @@
     return starts | latencies
 
 
-async def _measure_starts(lab: Lab) -> dict:
+async def _measure_starts(lab: LabFleet) -> dict:
     entry_seconds, agent_seconds = [], []
     for index in range(1, STARTS + 1):
         entry_seconds.append(
@@ -54,11 +54,11 @@
         )
         agent_seconds.append(
             await _measure_seconds(
-                lambda vm=f"order-{index}": lab.start_plain_vm(vm, "orders")
+                lambda vm=f"order-{index}": lab.start_plain_service_vm(vm, "orders")
             )
         )
     await asyncio.sleep(SETTLE_SECONDS)
-    pids = {vm: process.process.pid for vm, process in lab.processes.items()}
+    pids = {vm: process.subprocess.pid for vm, process in lab.processes.items()}
     return {
         "entry_start_s": sorted(entry_seconds),
         "agent_start_s": sorted(agent_seconds),
@@ -73,17 +73,17 @@
     return round(time.perf_counter() - started, 3)
 
 
-async def _measure_latencies(lab: Lab, folder: Path) -> dict:
-    digest = lab.publish(*make_weights("drafter", "v1", 8, 4096, 0))
+async def _measure_latencies(lab: LabFleet, folder: Path) -> dict:
+    digest = lab.publish(*generate_weights("drafter", "v1", 8, 4096, 0))
     await lab.start_engine_vm("draft-1", "drafting")
-    plain_vm = next(iter(lab.plains))
-    lab.plains[plain_vm].seconds = 0.0
+    plain_vm = next(iter(lab.plain_services))
+    lab.plain_services[plain_vm].call_seconds = 0.0
     server_address = lab.server_addresses[plain_vm]
-    entry_address = lab.processes["entry-1"].http
+    entry_address = lab.processes["entry-1"].http_address
     session = aiohttp.ClientSession(f"http://{entry_address}")
     async with session, aiohttp.ClientSession(server_address) as direct:
-        await submit(session, first_ticket(folder, digest))
-        await wait_in_force(session, 1, 1)
+        await submit_ticket(session, write_first_ticket(folder, digest))
+        await wait_in_effect(session, 1, 1)
         await wait_serving(session, 1 + STARTS)
         histograms = await _measure_interleaved(
             {
--- a/packages/wasabideck_lab/wasabideck_lab/playground.py
+++ b/packages/wasabideck_lab/wasabideck_lab/playground.py
@@ -5,10 +5,10 @@
 import asyncio
 from pathlib import Path
 
-from .demo import CHUNK_BYTES, CHUNKS, SERVICES, first_ticket
-from .launcher import CALLER_TOKEN, OPERATOR_TOKEN, Lab
-from .toml import to_toml
-from .weights import make_weights
+from .demo import CHUNK_BYTES, CHUNKS, SERVICES, write_first_ticket
+from .lab_fleet import CALLER_TOKEN, OPERATOR_TOKEN, LabFleet
+from .random_weights import generate_weights
+from .toml_writer import to_toml
 
 __all__ = ["run_playground"]
 
@@ -20,10 +20,10 @@
     into the folder.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    lab = Lab(folder, seed)
+    lab = LabFleet(folder, seed)
     await lab.start_platform()
     digests = [
-        lab.publish(*make_weights("drafter", version, CHUNKS, CHUNK_BYTES, seed))
+        lab.publish(*generate_weights("drafter", version, CHUNKS, CHUNK_BYTES, seed))
         for version in ("v1", "v2")
     ]
     try:
@@ -31,10 +31,10 @@
         await asyncio.gather(
             lab.start_engine_vm("draft-1", "drafting"),
             lab.start_engine_vm("draft-2", "drafting"),
-            lab.start_plain_vm("order-1", "orders"),
+            lab.start_plain_service_vm("order-1", "orders"),
         )
-        _write_files(folder, entry.http, digests)
-        print(_instructions(folder, entry.http), flush=True)
+        _write_files(folder, entry.http_address, digests)
+        print(_instructions(folder, entry.http_address), flush=True)
         await stop.wait()
     finally:
         await lab.close()
@@ -47,7 +47,7 @@
         "plain_text": True,
     }
     (folder / "access.toml").write_text(to_toml(access))
-    first = first_ticket(folder, digests[0]).read_text()
+    first = write_first_ticket(folder, digests[0]).read_text()
     second = first.replace("number = 1", "number = 2").replace('"v1"', '"v2"')
     second = second.replace(digests[0], digests[1]).replace('"first"', '"second"')
     (folder / "ticket-2.toml").write_text(second)
--- a/packages/wasabideck_lab/wasabideck_lab/process_usage.py
+++ b/packages/wasabideck_lab/wasabideck_lab/process_usage.py
@@ -9,7 +9,7 @@
 
 from attrs import frozen
 
-__all__ = ["Usage", "cpu_seconds", "resident_bytes", "usage_over"]
+__all__ = ["Usage", "cpu_seconds", "resident_bytes", "measure_usage"]
 
 _TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -21,19 +21,19 @@
 
     Attributes
     ----------
-    cpu : float
+    cpu_fraction : float
         Mean usage as a fraction of one core.
-    resident : int
+    resident_bytes : int
         Resident memory in bytes at the end of the period.
-    received, sent : float
+    received_bytes_per_second, sent_bytes_per_second : float
         Bytes per second that passed through the read and write calls of the process,
         for sockets as well as for its event file. Framing below TCP is not included.
     """
 
-    cpu: float
-    resident: int
-    received: float
-    sent: float
+    cpu_fraction: float
+    resident_bytes: int
+    received_bytes_per_second: float
+    sent_bytes_per_second: float
 
 
 def resident_bytes(pid: int) -> int:
@@ -55,7 +55,7 @@
     return int(rows["rchar"]), int(rows["wchar"])
 
 
-async def usage_over(pid: int, seconds: float) -> Usage:
+async def measure_usage(pid: int, seconds: float) -> Usage:
     """Measure the usage of a process over a period."""
     started, cpu_before = time.monotonic(), cpu_seconds(pid)
     received, sent = _io_bytes(pid)
--- a/packages/wasabideck_lab/wasabideck_lab/weights.py
+++ b/packages/wasabideck_lab/wasabideck_lab/random_weights.py
@@ -6,10 +6,10 @@
 
 from wasabideck_policy.manifests import Manifest, chunk_digest
 
-__all__ = ["make_weights"]
+__all__ = ["generate_weights"]
 
 
-def make_weights(
+def generate_weights(
     model: str, version: str, chunks: int, chunk_bytes: int, seed: int
 ) -> tuple[Manifest, list[bytes]]:
     """Return a manifest and its chunks; equal arguments give equal weights."""
--- a/packages/wasabideck_lab/wasabideck_lab/relay.py
+++ b/packages/wasabideck_lab/wasabideck_lab/relay.py
@@ -51,13 +51,13 @@
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
-    def silence(self) -> int:
+    def stall_connections(self) -> int:
         """Stall the open connections, and return their number; new connections work."""
         for link in self._links:
             link.stalled = True
         return len(self._links)
 
-    def cut(self) -> int:
+    def abort_connections(self) -> int:
         """Abort the open connections, and return their number; new connections work."""
         links = list(self._links)
         for link in links:
@@ -67,7 +67,7 @@
     async def close(self) -> None:
         """Stop listening, and abort the open connections."""
         self._server.close()
-        self.cut()
+        self.abort_connections()
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/packages/wasabideck_lab/wasabideck_lab/losses.py
+++ b/packages/wasabideck_lab/wasabideck_lab/request_outcomes.py
@@ -67,7 +67,7 @@
 
 
 def _parse_ended(event: dict) -> EndedRequest:
-    priorities = {Urgency.FRESH: AHEAD, Urgency.LATE: BEHIND}
+    priorities = {Urgency.IN_TIME: AHEAD, Urgency.LATE: BEHIND}
     outcome = event["outcome"]
     if outcome != "answered":
         outcome = event.get("reason") or outcome
--- a/packages/wasabideck_lab/wasabideck_lab/rollout.py
+++ b/packages/wasabideck_lab/wasabideck_lab/rollout.py
@@ -7,8 +7,8 @@
 from attrs import define, field, frozen
 from wasabideck_policy.manifests import Manifest
 
-from .launcher import Lab
-from .traffic import Traffic
+from .caller_traffic import Traffic
+from .lab_fleet import LabFleet
 
 __all__ = ["Plan", "Run", "lower_bound"]
 
@@ -88,7 +88,7 @@
     """A measured rollout and the fleet in which it runs."""
 
     plan: Plan
-    lab: Lab
+    lab: LabFleet
     traffic: Traffic
     rng: random.Random
     manifest: Manifest
--- a/packages/wasabideck_lab/wasabideck_lab/rollout_books.py
+++ b/packages/wasabideck_lab/wasabideck_lab/rollout_measurements.py
@@ -66,7 +66,7 @@
     for vm in run.vms:
         if vm in run.killed:
             continue
-        for line in run.lab.processes[vm].events.read_bytes().splitlines():
+        for line in run.lab.processes[vm].events_path.read_bytes().splitlines():
             if quoted_kind in line:
                 events.append(orjson.loads(line))
     return events
@@ -77,7 +77,7 @@
     bytes_by_vm: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
     async with aiohttp.ClientSession() as session:
         for vm in sorted(set(run.vms) - run.killed):
-            url = f"http://{run.lab.processes[vm].http}/metrics"
+            url = f"http://{run.lab.processes[vm].http_address}/metrics"
             async with session.get(url) as response:
                 text = await response.text()
             for line in text.splitlines():
@@ -90,7 +90,7 @@
 def fleet_cpu_seconds(run: Run) -> float:
     """Return the CPU time that the running agents have used."""
     running = set(run.vms) - run.killed
-    return sum(cpu_seconds(run.lab.processes[vm].process.pid) for vm in running)
+    return sum(cpu_seconds(run.lab.processes[vm].subprocess.pid) for vm in running)
 
 
 def byte_increase(before: dict | None, after: dict) -> dict:
--- a/packages/wasabideck_lab/wasabideck_lab/samples.py
+++ b/packages/wasabideck_lab/wasabideck_lab/sample_settings.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from .toml import to_toml
+from .toml_writer import to_toml
 
 __all__ = ["PRINTING", "RENT", "Deployment", "sample_files", "write_samples"]
 
--- a/packages/wasabideck_lab/wasabideck_lab/scenarios_answers.py
+++ b/packages/wasabideck_lab/wasabideck_lab/scenarios_requests.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from .demo import SERVICES, wait_serving
-from .faults_run import Stage, scenario
+from .fault_scenarios import ScenarioContext, register_scenario
 
 __all__: list[str] = []
 
@@ -14,13 +14,13 @@
 MAX_CRASHES_PER_REQUEST = 2
 
 
-@scenario("undisturbed")
-async def undisturbed(stage: Stage) -> None:
+@register_scenario("undisturbed")
+async def undisturbed(stage: ScenarioContext) -> None:
     """Inject no fault: every request is answered."""
 
 
-@scenario("agents-killed")
-async def agents_killed(stage: Stage) -> None:
+@register_scenario("agents-killed")
+async def agents_killed(stage: ScenarioContext) -> None:
     """Kill one agent of each service; then kill another one of each and restart it."""
     await asyncio.sleep(2)
     stage.kill("draft-1", "order-1")
@@ -28,60 +28,60 @@
     await _kill_and_restart(stage, "draft-2", "order-2")
 
 
-@scenario("agents-restarted")
-async def agents_restarted(stage: Stage) -> None:
+@register_scenario("agents-restarted")
+async def agents_restarted(stage: ScenarioContext) -> None:
     """Kill agents, and at once start new ones without state at their addresses."""
     for vm in ("order-1", "order-2", "draft-1"):
         await asyncio.sleep(1.5)
         await _kill_and_restart(stage, vm)
 
 
-@scenario("entry-killed")
-async def entry_killed(stage: Stage) -> None:
+@register_scenario("entry-killed")
+async def entry_killed(stage: ScenarioContext) -> None:
     """Kill an entry: its callers retry at other entries with the same keys."""
     for vm in ("entry-1", "entry-2"):
         await asyncio.sleep(2.5)
         await _kill_and_restart(stage, vm)
 
 
-@scenario("agents-frozen")
-async def agents_frozen(stage: Stage) -> None:
+@register_scenario("agents-frozen")
+async def agents_frozen(stage: ScenarioContext) -> None:
     """Suspend agents: they resume with claims and requests still in progress."""
     await asyncio.sleep(2)
-    await stage.freeze(4, "order-1", "draft-1")
+    await stage.suspend(4, "order-1", "draft-1")
     await asyncio.sleep(1)
-    await stage.freeze(2, "order-2", "draft-1")
+    await stage.suspend(2, "order-2", "draft-1")
 
 
-@scenario("entry-frozen")
-async def entry_frozen(stage: Stage) -> None:
+@register_scenario("entry-frozen")
+async def entry_frozen(stage: ScenarioContext) -> None:
     """Suspend an entry: its requests stop, and all of them continue when it resumes."""
     await asyncio.sleep(2)
-    await stage.freeze(4, "entry-1")
+    await stage.suspend(4, "entry-1")
 
 
-@scenario("links-silent")
-async def links_silent(stage: Stage) -> None:
+@register_scenario("links-silent")
+async def links_silent(stage: ScenarioContext) -> None:
     """Stall the open connections between entries and agents permanently, twice."""
-    await stage.relay(*DRAFTING_VMS, *ORDERS_VMS)
+    await stage.insert_relays(*DRAFTING_VMS, *ORDERS_VMS)
     for _ in range(2):
         await asyncio.sleep(3)
         for relay in stage.relays.values():
-            relay.silence()
+            relay.stall_connections()
 
 
-@scenario("links-cut")
-async def links_cut(stage: Stage) -> None:
+@register_scenario("links-cut")
+async def links_cut(stage: ScenarioContext) -> None:
     """Abort connections between entries and agents repeatedly."""
-    await stage.relay(*DRAFTING_VMS, *ORDERS_VMS)
+    await stage.insert_relays(*DRAFTING_VMS, *ORDERS_VMS)
     await asyncio.sleep(2)
     for _ in range(20):
         await asyncio.sleep(0.3)
-        stage.relays[stage.rng.choice(sorted(stage.relays))].cut()
+        stage.relays[stage.rng.choice(sorted(stage.relays))].abort_connections()
 
 
-@scenario("store-down")
-async def store_down(stage: Stage) -> None:
+@register_scenario("store-down")
+async def store_down(stage: ScenarioContext) -> None:
     """Make the table respond 503 for some seconds, then slowly."""
     faults = stage.lab.table.faults.active
     await asyncio.sleep(2)
@@ -93,8 +93,8 @@
     del faults["slow"]
 
 
-@scenario("store-loses-answers")
-async def store_loses_answers(stage: Stage) -> None:
+@register_scenario("store-loses-answers")
+async def store_loses_answers(stage: ScenarioContext) -> None:
     """Lose responses to table writes; the writes take effect at once, later delayed."""
     faults = stage.lab.table.faults.active
     await asyncio.sleep(1)
@@ -105,20 +105,20 @@
     faults.clear()
 
 
-@scenario("server-fails-after")
-async def server_fails_after(stage: Stage) -> None:
+@register_scenario("server-fails-after")
+async def server_fails_after(stage: ScenarioContext) -> None:
     """Make a plain service respond 500 to calls after it has executed them."""
     for vm in ORDERS_VMS:
-        stage.lab.plains[vm].faults.active["fail_after"] = 0.2
+        stage.lab.plain_services[vm].faults.active["fail_after"] = 0.2
     await asyncio.sleep(6)
     for vm in ORDERS_VMS:
-        stage.lab.plains[vm].faults.active.clear()
+        stage.lab.plain_services[vm].faults.active.clear()
 
 
-@scenario("same-key-twice")
-async def same_key_twice(stage: Stage) -> None:
+@register_scenario("same-key-twice")
+async def same_key_twice(stage: ScenarioContext) -> None:
     """Send the same order three times at once through any entries, then once more."""
-    async with stage.any_session() as session:
+    async with stage.unbound_session() as session:
         for index in range(60):
             await asyncio.sleep(0.1)
             key = f"twice-{index}"
@@ -127,14 +127,14 @@
             await stage.traffic.send(*order)
 
 
-@scenario("crashing-request")
-async def crashing_request(stage: Stage) -> None:
+@register_scenario("crashing-request")
+async def crashing_request(stage: ScenarioContext) -> None:
     """Send requests that crash each server that runs them, and retry each request."""
-    servers = [*stage.lab.engines.values(), *stage.lab.plains.values()]
+    servers = [*stage.lab.engines.values(), *stage.lab.plain_services.values()]
     for server in servers:
         server.faults.active["crash_on"] = "boom"
     await asyncio.sleep(2)
-    async with stage.any_session() as session:
+    async with stage.unbound_session() as session:
         for index, (service, route) in enumerate(
             [("drafting", "brief"), ("orders", "status"), ("orders", "print")]
         ):
@@ -150,42 +150,42 @@
     _check_crashes(stage)
 
 
-@scenario("rolling-stops")
-async def rolling_stops(stage: Stage) -> None:
+@register_scenario("rolling-stops")
+async def rolling_stops(stage: ScenarioContext) -> None:
     """Replace every entry and agent under load, stopping the old ones with SIGTERM."""
     await _replace_all_processes(stage)
 
 
-@scenario("two-together")
-async def two_together(stage: Stage) -> None:
+@register_scenario("two-together")
+async def two_together(stage: ScenarioContext) -> None:
     """Suspend agents while the table is down.
 
     Then kill an entry and agents while connections stall and table responses are lost.
     """
-    await stage.relay(*ORDERS_VMS)
+    await stage.insert_relays(*ORDERS_VMS)
     await asyncio.sleep(2)
     stage.lab.table.faults.active["down"] = 1
-    await stage.freeze(2, "order-1", "draft-1")
+    await stage.suspend(2, "order-1", "draft-1")
     stage.lab.table.faults.active.clear()
     stage.lab.table.faults.active["lose_answer"] = 0.2
     for relay in stage.relays.values():
-        relay.silence()
+        relay.stall_connections()
     await _kill_and_restart(stage, "entry-3")
     await _kill_and_restart(stage, "order-2", "draft-2")
     await asyncio.sleep(2)
     stage.lab.table.faults.active.clear()
 
 
-async def _kill_and_restart(stage: Stage, *vms: str) -> None:
+async def _kill_and_restart(stage: ScenarioContext, *vms: str) -> None:
     for vm in vms:
         stage.lab.processes[vm].kill()
-        await stage.lab.processes[vm].process.wait()
+        await stage.lab.processes[vm].subprocess.wait()
         await stage.lab.restart(vm)
 
 
-async def _replace_all_processes(stage: Stage) -> None:
+async def _replace_all_processes(stage: ScenarioContext) -> None:
     lab = stage.lab
-    for vm in stage.entries():
+    for vm in stage.entry_vms():
         await lab.start_entry(f"{vm}b", SERVICES)
         await _stop_and_remove(stage, vm)
     for vm in DRAFTING_VMS:
@@ -193,27 +193,27 @@
         await _wait_until_serving(stage)
         await _stop_and_remove(stage, vm)
     for vm in ORDERS_VMS:
-        await lab.start_plain_vm(f"{vm}b", "orders")
+        await lab.start_plain_service_vm(f"{vm}b", "orders")
         await _wait_until_serving(stage)
         await _stop_and_remove(stage, vm)
 
 
-async def _wait_until_serving(stage: Stage) -> None:
-    async with stage.session("entry-1b") as session:
+async def _wait_until_serving(stage: ScenarioContext) -> None:
+    async with stage.entry_session("entry-1b") as session:
         await wait_serving(session, len(DRAFTING_VMS) + len(ORDERS_VMS) + 1)
 
 
-async def _stop_and_remove(stage: Stage, vm: str) -> None:
+async def _stop_and_remove(stage: ScenarioContext, vm: str) -> None:
     process = stage.lab.processes[vm]
     exit_code = await process.stop()
     if exit_code:
         stage.problems.append(f"{vm} exited with {exit_code}")
-    stage.lab.members.remove(vm)
+    stage.lab.members.remove_member(vm)
     stage.lab.processes.pop(vm)
 
 
-def _check_crashes(stage: Stage) -> None:
-    servers = [*stage.lab.engines.values(), *stage.lab.plains.values()]
+def _check_crashes(stage: ScenarioContext) -> None:
+    servers = [*stage.lab.engines.values(), *stage.lab.plain_services.values()]
     bodies = [body for server in servers for body in server.crash_simulator.bodies]
     for body in set(bodies):
         if bodies.count(body) > MAX_CRASHES_PER_REQUEST:
--- a/packages/wasabideck_lab/wasabideck_lab/scenarios_tickets.py
+++ b/packages/wasabideck_lab/wasabideck_lab/scenarios_tickets.py
@@ -6,8 +6,8 @@
 import time
 
 from .demo import SERVICES
-from .faults_run import Stage, scenario
-from .stage_tickets import (
+from .fault_scenarios import ScenarioContext, register_scenario
+from .ticket_steps import (
     expect,
     publish,
     query_entry,
@@ -32,11 +32,11 @@
 ENGINE_ROLES = ("mixed", "decode", "mixed")
 
 
-def _set_table_down(stage: Stage, is_down: bool) -> None:
+def _set_table_down(stage: ScenarioContext, is_down: bool) -> None:
     stage.lab.table.faults.active["down"] = int(is_down)
 
 
-def _check_versions(stage: Stage) -> None:
+def _check_versions(stage: ScenarioContext) -> None:
     """Check that the version of each drafting response belongs to its stated ticket."""
     drafting = [r for r in stage.traffic.results if r.service == "drafting"]
     answered = [r for r in drafting if r.outcome == "answered"]
@@ -46,7 +46,7 @@
     )
 
 
-def _check_order_overlaps(stage: Stage) -> None:
+def _check_order_overlaps(stage: ScenarioContext) -> None:
     """Check that no engine received an order while another order was pending."""
     overlapping = sum(
         engine.overlapping_orders for engine in stage.lab.engines.values()
@@ -58,8 +58,8 @@
     )
 
 
-@scenario("operators-race")
-async def operators_race(stage: Stage) -> None:
+@register_scenario("operators-race")
+async def operators_race(stage: ScenarioContext) -> None:
     """Submit tickets at three entries at once.
 
     Some have lower numbers than accepted ones, and some have equal numbers but
@@ -70,12 +70,12 @@
         stage.rng.shuffle(numbers)
         submissions = [
             submit_ticket(stage, vm, number, f"v{number}")
-            for vm, number in zip(stage.entries(), numbers, strict=True)
+            for vm, number in zip(stage.entry_vms(), numbers, strict=True)
         ]
         # Submits the highest number again at every entry, with different content.
         submissions += [
             submit_ticket(stage, vm, first + 2, engine_role=role)
-            for vm, role in zip(stage.entries(), ENGINE_ROLES, strict=True)
+            for vm, role in zip(stage.entry_vms(), ENGINE_ROLES, strict=True)
         ]
         responses = await asyncio.gather(*submissions)
         titles = {response.title for response in responses if response.status != 200}
@@ -84,7 +84,7 @@
         expect(stage, any(a.status == 200 for a in responses), "no ticket was accepted")
         await wait_in_effect_everywhere(stage, first + 2)
     ticket_lists = [
-        (await query_entry(stage, vm, "/v1/tickets")).body for vm in stage.entries()
+        (await query_entry(stage, vm, "/v1/tickets")).body for vm in stage.entry_vms()
     ]
     expect(
         stage,
@@ -95,8 +95,8 @@
     _check_order_overlaps(stage)
 
 
-@scenario("store-down-after-acceptance")
-async def store_down_after_acceptance(stage: Stage) -> None:
+@register_scenario("store-down-after-acceptance")
+async def store_down_after_acceptance(stage: ScenarioContext) -> None:
     """Make the table unavailable as soon as it contains a new ticket."""
     publish(stage, "v2")
     submitted = asyncio.create_task(submit_ticket(stage, "entry-2", 2))
@@ -123,17 +123,19 @@
     _check_versions(stage)
 
 
-def _delivery_count(stage: Stage, number: int) -> int:
+def _delivery_count(stage: ScenarioContext, number: int) -> int:
     delivery_rows = stage.lab.table.rows.get("deliveries", {})
     return sum(key.startswith(f"{number:020d}/") for key in delivery_rows)
 
 
-@scenario("ticket-answer-lost")
-async def ticket_answer_lost(stage: Stage) -> None:
+@register_scenario("ticket-answer-lost")
+async def ticket_answer_lost(stage: ScenarioContext) -> None:
     """Lose each response of the table to a write, after the write has taken effect."""
     for number in range(2, 2 + TICKET_ROUNDS):
         stage.lab.table.faults.active["lose_answer"] = 1
-        response = await submit_ticket(stage, stage.rng.choice(stage.entries()), number)
+        response = await submit_ticket(
+            stage, stage.rng.choice(stage.entry_vms()), number
+        )
         del stage.lab.table.faults.active["lose_answer"]
         expect(stage, response.status in (200, 503), f"unexpected response: {response}")
         status = await query_entry(stage, "entry-1", f"/v1/tickets/{number}/status")
@@ -146,8 +148,8 @@
     _check_versions(stage)
 
 
-@scenario("ticket-applied-late")
-async def ticket_applied_late(stage: Stage) -> None:
+@register_scenario("ticket-applied-late")
+async def ticket_applied_late(stage: ScenarioContext) -> None:
     """Lose the response to a ticket's write, and delay the write by seconds.
 
     If the checks of the delayed write then fail, it never takes effect.
@@ -176,8 +178,8 @@
     _check_versions(stage)
 
 
-@scenario("frozen-agent")
-async def frozen_agent(stage: Stage) -> None:
+@register_scenario("frozen-agent")
+async def frozen_agent(stage: ScenarioContext) -> None:
     """Suspend an agent for a minute, during which two tickets are submitted."""
     await _suspend_during_tickets(stage, "draft-1")
     for engine in stage.lab.engines.values():
@@ -188,8 +190,8 @@
         )
 
 
-@scenario("frozen-entry")
-async def frozen_entry(stage: Stage) -> None:
+@register_scenario("frozen-entry")
+async def frozen_entry(stage: ScenarioContext) -> None:
     """Suspend an entry for a minute, during which two tickets are submitted."""
     await _suspend_during_tickets(stage, "entry-1")
     status = await query_entry(stage, "entry-1", "/v1/tickets/3/status")
@@ -200,11 +202,11 @@
     )
 
 
-async def _suspend_during_tickets(stage: Stage, vm: str) -> None:
+async def _suspend_during_tickets(stage: ScenarioContext, vm: str) -> None:
     stage.traffic.requests_per_second = SUSPENSION_REQUESTS_PER_SECOND
     process = stage.lab.processes[vm]
     suspended = frozenset({vm})
-    process.freeze()
+    process.suspend()
     started = time.monotonic()
     try:
         for number in (2, 3):
@@ -212,7 +214,7 @@
             await wait_in_effect_everywhere(stage, number, excluded=suspended)
         await asyncio.sleep(started + SUSPENSION_SECONDS - time.monotonic())
     finally:
-        process.thaw()
+        process.resume()
     resumed = time.monotonic()
     await wait_in_effect_everywhere(stage, 3)
     stage.figures["in_force_after_thaw"] = round(time.monotonic() - resumed, 3)
@@ -222,14 +224,14 @@
     _check_versions(stage)
 
 
-@scenario("new-vm-store-down")
-async def new_vm_store_down(stage: Stage) -> None:
+@register_scenario("new-vm-store-down")
+async def new_vm_store_down(stage: ScenarioContext) -> None:
     """Start a VM while the table is down and one entry has outdated cluster state."""
-    stage.lab.processes["entry-1"].freeze()
+    stage.lab.processes["entry-1"].suspend()
     await submit_ticket(stage, "entry-2", 2)
     await wait_in_effect_everywhere(stage, 2)
     _set_table_down(stage, True)
-    stage.lab.processes["entry-1"].thaw()
+    stage.lab.processes["entry-1"].resume()
     started = time.monotonic()
     await stage.lab.start_engine_vm("draft-4", "drafting")
     engine = stage.lab.engines["draft-4"]
@@ -241,20 +243,20 @@
     _check_versions(stage)
 
 
-@scenario("order-answer-lost")
-async def order_answer_lost(stage: Stage) -> None:
+@register_scenario("order-answer-lost")
+async def order_answer_lost(stage: ScenarioContext) -> None:
     """Make every engine close the connection after it has executed an order."""
     for engine in stage.lab.engines.values():
         engine.faults.active["lose_order"] = 1
     for number in range(2, 2 + TICKET_ROUNDS):
-        await submit_ticket(stage, stage.rng.choice(stage.entries()), number)
+        await submit_ticket(stage, stage.rng.choice(stage.entry_vms()), number)
         await wait_in_effect_everywhere(stage, number)
     _check_versions(stage)
     _check_order_overlaps(stage)
 
 
-@scenario("order-late-ignored-fence")
-async def order_late_ignored_fence(stage: Stage) -> None:
+@register_scenario("order-late-ignored-fence")
+async def order_late_ignored_fence(stage: ScenarioContext) -> None:
     """Delay an order on engines that ignore fencing tokens."""
     engines = stage.lab.engines.values()
     for engine in engines:
@@ -276,18 +278,18 @@
     _check_order_overlaps(stage)
 
 
-@scenario("agent-leaves-lagging-list")
-async def agent_leaves_lagging_list(stage: Stage) -> None:
+@register_scenario("agent-leaves-lagging-list")
+async def agent_leaves_lagging_list(stage: ScenarioContext) -> None:
     """Shut down a backend server under load; the membership list still contains it."""
     stage.traffic.requests_per_second = SHUTDOWN_REQUESTS_PER_SECOND
     engine = stage.lab.engines["draft-1"]
     shutdown = asyncio.create_task(stage.lab.processes["draft-1"].stop())
     await asyncio.sleep(SHUTDOWN_SECONDS)
-    runs = engine.runs.total()
+    runs = engine.runs_by_attempt.total()
     exit_code = await shutdown
     expect(stage, exit_code == 0, f"draft-1 exited with {exit_code}")
     await asyncio.sleep(SHUTDOWN_SECONDS)
-    further_runs = engine.runs.total() - runs
+    further_runs = engine.runs_by_attempt.total() - runs
     expect(
         stage,
         not further_runs,
@@ -298,14 +300,14 @@
     await asyncio.sleep(MEMBERS_LAG_SECONDS - 2 * SHUTDOWN_SECONDS)
     expect(
         stage,
-        engine.runs.total() == runs,
+        engine.runs_by_attempt.total() == runs,
         "requests ran on the stopped server while the list contained it",
     )
-    stage.lab.members.remove("draft-1")
+    stage.lab.members.remove_member("draft-1")
 
 
-@scenario("rolling-replacement")
-async def rolling_replacement(stage: Stage) -> None:
+@register_scenario("rolling-replacement")
+async def rolling_replacement(stage: ScenarioContext) -> None:
     """Replace every entry and every agent by a new VM, one after the other."""
     stage.traffic.requests_per_second = REPLACEMENT_REQUESTS_PER_SECOND
     for old, new in (("entry-1", "entry-4"), ("entry-2", "entry-5")):
@@ -316,14 +318,14 @@
         engine = stage.lab.engines[f"draft-{index + 3}"]
         await wait_until(lambda engine=engine: engine.loaded.fence, MAX_SETTLE_SECONDS)
         await _stop_and_remove(stage, f"draft-{index}")
-        await stage.lab.start_plain_vm(f"order-{index + 3}", "orders")
+        await stage.lab.start_plain_service_vm(f"order-{index + 3}", "orders")
         await _stop_and_remove(stage, f"order-{index}")
     await stage.lab.start_entry("entry-6", SERVICES)
     await _stop_and_remove(stage, "entry-3")
     _check_versions(stage)
 
 
-async def _stop_and_remove(stage: Stage, vm: str) -> None:
+async def _stop_and_remove(stage: ScenarioContext, vm: str) -> None:
     exit_code = await stage.lab.processes[vm].stop()
     expect(stage, exit_code == 0, f"{vm} exited with {exit_code}")
-    stage.lab.members.remove(vm)
+    stage.lab.members.remove_member(vm)
--- a/packages/wasabideck_lab/wasabideck_lab/standin_platform.py
+++ b/packages/wasabideck_lab/wasabideck_lab/standin_platform.py
@@ -12,17 +12,17 @@
 from wasabideck_policy.manifests import Manifest, manifest_to_json
 from wasabideck_policy.membership import Member
 
-from .faults import Faults
-from .pacing import Pacer
+from .faults import FaultInjector
+from .link_pacing import Pacer
 
-__all__ = ["MembersStandin", "TableStandin", "WeightsStandin"]
+__all__ = ["MembersStandin", "TableStandin", "OriginStandin"]
 
 
 @define
 class TableStandin:
     """A transactional table; the lab's checks read its rows and counters."""
 
-    faults: Faults
+    faults: FaultInjector
     rows: dict[str, dict[str, dict]] = field(factory=dict)
     reads: int = 0
     writes: int = 0
@@ -36,7 +36,7 @@
 
     async def _scan(self, req: web.Request) -> web.Response:
         self.reads += 1
-        await self.faults.delay()
+        await self.faults.apply_delay_or_refuse()
         table = self.rows.get(req.match_info["table"], {})
         if key := req.query.get("key"):
             matches = [(key, table[key])] if key in table else []
@@ -52,15 +52,15 @@
 
     async def _transact(self, req: web.Request) -> web.Response:
         self.writes += 1
-        await self.faults.delay()
+        await self.faults.apply_delay_or_refuse()
         body = await req.json()
-        if self.faults.strikes("apply_late"):
+        if self.faults.occurs("apply_late"):
             asyncio.get_running_loop().call_later(
                 self.faults.value("apply_late"), self._apply, body
             )
             return _drop_connection(req)
         response = self._apply(body)
-        if self.faults.strikes("lose_answer"):
+        if self.faults.occurs("lose_answer"):
             return _drop_connection(req)
         return response
 
@@ -89,7 +89,7 @@
 class MembersStandin:
     """The platform's list of VMs; readers see it with a configurable lag."""
 
-    faults: Faults
+    faults: FaultInjector
     _history: list[tuple[float, dict[str, Member]]] = field(
         factory=lambda: [(-math.inf, {})]
     )
@@ -99,17 +99,17 @@
         """Return the routes that it serves."""
         return [web.get("/v1/members", self._list)]
 
-    def put(self, member: Member) -> None:
+    def put_member(self, member: Member) -> None:
         """Add a VM to the list, or replace its entry."""
         self._append_version(self._history[-1][1] | {member.vm: member})
 
-    def remove(self, vm: str) -> None:
+    def remove_member(self, vm: str) -> None:
         """Remove a VM from the list."""
         newest = dict(self._history[-1][1])
         newest.pop(vm, None)
         self._append_version(newest)
 
-    def newest(self) -> dict[str, Member]:
+    def current_members(self) -> dict[str, Member]:
         """Return the current list, without the lag."""
         return self._history[-1][1]
 
@@ -118,7 +118,7 @@
 
     async def _list(self, req: web.Request) -> web.Response:
         self.reads += 1
-        await self.faults.delay()
+        await self.faults.apply_delay_or_refuse()
         visible_until = time.monotonic() - self.faults.value("lag")
         visible = [
             version
@@ -136,10 +136,10 @@
 
 
 @define
-class WeightsStandin:
+class OriginStandin:
     """The weight origin behind one link of limited rate; counts the reads."""
 
-    faults: Faults
+    faults: FaultInjector
     pacer: Pacer
     manifests: dict[str, bytes] = field(factory=dict)
     chunks: dict[str, bytes] = field(factory=dict)
@@ -160,21 +160,21 @@
         return manifest.digest
 
     async def _manifest(self, req: web.Request) -> web.Response:
-        await self.faults.delay()
+        await self.faults.apply_delay_or_refuse()
         data = self.manifests.get(req.match_info["digest"])
         return web.Response(body=data, status=200 if data else 404)
 
     async def _chunk(self, req: web.Request) -> web.Response:
-        await self.faults.delay()
+        await self.faults.apply_delay_or_refuse()
         digest = req.match_info["digest"]
         data = self.chunks.get(digest)
         if data is None:
             return web.Response(status=404)
-        if self.faults.strikes("stall"):
+        if self.faults.occurs("stall"):
             await asyncio.sleep(3600)
         self.chunk_reads[digest] += 1
         self.bytes_read += len(data)
         await self.pacer.transmit(len(data))
-        if self.faults.strikes("corrupt"):
+        if self.faults.occurs("corrupt"):
             data = bytes([data[0] ^ 1]) + data[1:]
         return web.Response(body=data)
--- a/packages/wasabideck_lab/wasabideck_lab/standin_servers.py
+++ b/packages/wasabideck_lab/wasabideck_lab/standin_servers.py
@@ -13,10 +13,10 @@
 import orjson
 from aiohttp import web
 from attrs import asdict, define, field
-from wasabideck_base.servers import Loaded
+from wasabideck_base.server_clients import ServedState
 from wasabideck_policy.manifests import Manifest
 
-from .faults import Faults
+from .faults import FaultInjector
 from .standin_batch import PREFIX_BYTES, Batch
 
 __all__ = ["CrashSimulator", "EngineStandin", "PlainStandin"]
@@ -70,11 +70,11 @@
         Time between two tokens of one request; not used if there is a batch.
     batch : Batch or None
         Cost model of requests that share the engine.
-    runs : Counter
+    runs_by_attempt : Counter
         Number of runs by attempt; read by the lab's checks.
     history : list of int
         Fencing token of each executed order.
-    mixed : int
+    mixed_loads : int
         Number of orders that loaded a partial model or a mix of two models.
     pending_orders : int
         Number of received orders that aren't executed yet, including delayed orders.
@@ -82,19 +82,19 @@
         Number of orders that were received while another order was pending.
     """
 
-    faults: Faults
+    faults: FaultInjector
     manifests: dict[str, Manifest]
     token_seconds: float = 0.005
-    tokens: int = 8
+    tokens_per_response: int = 8
     capacity: int = 8
     load_seconds: float = 0.05
-    loaded: Loaded = field(factory=Loaded)
+    loaded: ServedState = field(factory=ServedState)
     staged: dict[str, dict[int, str]] = field(factory=dict)
-    runs: Counter = field(factory=Counter)
+    runs_by_attempt: Counter = field(factory=Counter)
     running: int = 0
     received_orders: list[dict] = field(factory=list)
     history: list[int] = field(factory=list)
-    mixed: int = 0
+    mixed_loads: int = 0
     pending_orders: int = 0
     overlapping_orders: int = 0
     cancelled_attempts: set[str] = field(factory=set)
@@ -141,7 +141,7 @@
             return web.Response(status=500)
         await asyncio.sleep(self.load_seconds)
         executed = self._execute_order(order)
-        if self.faults.strikes("lose_order"):
+        if self.faults.occurs("lose_order"):
             req.transport.abort()
         if not executed:
             return web.json_response(asdict(self.loaded), status=409)
@@ -156,8 +156,8 @@
         chunks = order.pop("chunks")
         manifests = (order["manifest"], *order["adapters"].values())
         if not all(self._is_fully_staged(digest, chunks) for digest in manifests):
-            self.mixed += 1
-        self.loaded = Loaded(**order)
+            self.mixed_loads += 1
+        self.loaded = ServedState(**order)
         self.history.append(order["fence"])
         return True
 
@@ -191,7 +191,7 @@
             return web.json_response([])
         after = int(req.query.get("after", "0"))
         events = [e for e in self.batch.cache.events if e[0] > after]
-        reported = [e for e in events if not self.faults.strikes("cache_gaps")]
+        reported = [e for e in events if not self.faults.occurs("cache_gaps")]
         return web.json_response(reported)
 
     async def _cancel(self, req: web.Request) -> web.Response:
@@ -201,13 +201,13 @@
     async def _generate(self, req: web.Request) -> web.StreamResponse:
         body = await req.read()
         attempt = req.headers["x-attempt"]
-        await self.faults.delay()
+        await self.faults.apply_delay_or_refuse()
         crash_text = self.faults.text("crash_on")
         with self.crash_simulator.track(req):
             if crash_text and crash_text.encode() in body:
                 self.crash_simulator.crash(body)
                 return web.Response(status=500)
-            self.runs[attempt] += 1
+            self.runs_by_attempt[attempt] += 1
             self.running += 1
             try:
                 if self.batch is None:
@@ -246,7 +246,9 @@
         await res.prepare(req)
         prompt = body[: int(req.headers.get("x-prompt-bytes", len(body)))]
         subject = hashlib.sha256(prompt).hexdigest()[:6]
-        for index in range(int(req.headers.get("x-resume-from", 0)), self.tokens):
+        for index in range(
+            int(req.headers.get("x-resume-from", 0)), self.tokens_per_response
+        ):
             if attempt in self.cancelled_attempts:
                 self.aborted_runs += 1
                 break
@@ -261,9 +263,9 @@
 class PlainStandin:
     """A plain service that counts how often it executes each call."""
 
-    faults: Faults
-    seconds: float = 0.005
-    runs: Counter = field(factory=Counter)
+    faults: FaultInjector
+    call_seconds: float = 0.005
+    runs_by_key: Counter = field(factory=Counter)
     attempts: Counter = field(factory=Counter)
     crash_simulator: CrashSimulator = field(factory=CrashSimulator)
     slots: asyncio.Semaphore | None = None
@@ -276,17 +278,17 @@
         body = await req.read()
         key = req.headers.get("idempotency-key", "")
         with self.crash_simulator.track(req):
-            self.runs[key] += 1
+            self.runs_by_key[key] += 1
             self.attempts[req.headers["x-attempt"]] += 1
             crash_text = self.faults.text("crash_on")
             if crash_text and crash_text.encode() in body:
                 self.crash_simulator.crash(body)
                 return web.Response(status=500)
             async with self.slots or contextlib.nullcontext():
-                await asyncio.sleep(self.seconds)
+                await asyncio.sleep(self.call_seconds)
             if self.faults.value("silent"):
                 await asyncio.sleep(3600)
-            if self.faults.strikes("fail_after"):
+            if self.faults.occurs("fail_after"):
                 return web.Response(status=500)
             result = {"key": key, "echo": hashlib.sha256(body).hexdigest()[:12]}
             return web.json_response(result)
--- a/packages/wasabideck_lab/wasabideck_lab/stage_tickets.py
+++ b/packages/wasabideck_lab/wasabideck_lab/ticket_steps.py
@@ -9,10 +9,10 @@
 import orjson
 from attrs import frozen
 
-from .faults_run import CHUNK_BYTES, CHUNKS, Stage
-from .launcher import OPERATOR_TOKEN
-from .toml import to_toml
-from .weights import make_weights
+from .fault_scenarios import CHUNK_BYTES, CHUNKS, ScenarioContext
+from .lab_fleet import OPERATOR_TOKEN
+from .random_weights import generate_weights
+from .toml_writer import to_toml
 
 __all__ = [
     "EntryResponse",
@@ -44,14 +44,14 @@
         return self.body.get("title", "")
 
 
-def publish(stage: Stage, version: str) -> str:
+def publish(stage: ScenarioContext, version: str) -> str:
     """Publish a version of the drafter, and return the digest of its manifest."""
-    weights = make_weights("drafter", version, CHUNKS, CHUNK_BYTES, stage.lab.seed)
+    weights = generate_weights("drafter", version, CHUNKS, CHUNK_BYTES, stage.lab.seed)
     return stage.lab.publish(*weights)
 
 
 async def submit_ticket(
-    stage: Stage, vm: str, number: int, version: str = "", **change: str
+    stage: ScenarioContext, vm: str, number: int, version: str = "", **change: str
 ) -> EntryResponse:
     """Submit a ticket that declares a version for the drafters.
 
@@ -69,17 +69,17 @@
     return await _send_request(stage, vm, "POST", "/v1/tickets", body)
 
 
-async def query_entry(stage: Stage, vm: str, path: str) -> EntryResponse:
+async def query_entry(stage: ScenarioContext, vm: str, path: str) -> EntryResponse:
     """Return the response of an entry to an operator's query."""
     return await _send_request(stage, vm, "GET", path, None)
 
 
 async def _send_request(
-    stage: Stage, vm: str, method: str, path: str, body: bytes | None
+    stage: ScenarioContext, vm: str, method: str, path: str, body: bytes | None
 ) -> EntryResponse:
     timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS)
     try:
-        async with stage.session(vm) as session:
+        async with stage.entry_session(vm) as session:
             req = session.request(
                 method, path, data=body, headers=OPERATOR_HEADERS, timeout=timeout
             )
@@ -91,7 +91,7 @@
         return EntryResponse(0, {})
 
 
-def expect(stage: Stage, condition: bool, problem: str) -> None:
+def expect(stage: ScenarioContext, condition: bool, problem: str) -> None:
     """Record a problem of the scenario unless a condition holds."""
     if not condition:
         stage.problems.append(problem)
@@ -107,13 +107,13 @@
     return True
 
 
-def is_accepted(stage: Stage, number: int) -> bool:
+def is_accepted(stage: ScenarioContext, number: int) -> bool:
     """Whether the table contains a ticket."""
     return f"{number:020d}" in stage.lab.table.rows.get("tickets", {})
 
 
 async def wait_in_effect_everywhere(
-    stage: Stage,
+    stage: ScenarioContext,
     number: int,
     seconds: float = MAX_IN_EFFECT_SECONDS,
     excluded: frozenset[str] = frozenset(),
@@ -139,7 +139,7 @@
 
 
 def _vms_without_ticket(
-    stage: Stage, number: int, excluded: frozenset[str]
+    stage: ScenarioContext, number: int, excluded: frozenset[str]
 ) -> list[str]:
     return [
         vm
@@ -148,7 +148,7 @@
     ]
 
 
-async def vms_in_effect(stage: Stage, vm: str, number: int) -> list[str]:
+async def vms_in_effect(stage: ScenarioContext, vm: str, number: int) -> list[str]:
     """Return the VMs on which a ticket is in effect according to ``ticket status``."""
     response = await query_entry(stage, vm, f"/v1/tickets/{number}/status")
     return response.body.get("in_force", [])
--- a/packages/wasabideck_lab/wasabideck_lab/in_force.py
+++ b/packages/wasabideck_lab/wasabideck_lab/time_to_effect.py
@@ -10,13 +10,13 @@
 
 import aiohttp
 import orjson
-from wasabideck_base.events import Stamp
+from wasabideck_base.events import Timestamp
 
 from .demo import SERVICES
-from .launcher import OPERATOR_TOKEN, Lab
-from .slopes import fit
-from .toml import to_toml
-from .weights import make_weights
+from .lab_fleet import OPERATOR_TOKEN, LabFleet
+from .line_fit import fit_line
+from .random_weights import generate_weights
+from .toml_writer import to_toml
 
 __all__ = ["measure_time_to_effect"]
 
@@ -44,16 +44,18 @@
         slowest_received.append(max(received))
         slowest_in_effect.append(max(in_effect))
     return [
-        fit("last VM heard of a ticket", "s", sizes, slowest_received).shown(
+        fit_line("last VM heard of a ticket", "s", sizes, slowest_received).to_row(
+            TARGET_SERVERS
+        ),
+        fit_line("last VM in force", "s", sizes, slowest_in_effect).to_row(
             TARGET_SERVERS
         ),
-        fit("last VM in force", "s", sizes, slowest_in_effect).shown(TARGET_SERVERS),
     ]
 
 
 async def _measure(size: int) -> tuple[list[float], list[float]]:
     with tempfile.TemporaryDirectory() as folder:
-        lab = Lab(Path(folder))
+        lab = LabFleet(Path(folder))
         await lab.start_platform()
         try:
             for index in range(ENTRIES):
@@ -70,7 +72,7 @@
             await lab.close()
 
 
-async def _roll_out(lab: Lab, step: int) -> float:
+async def _roll_out(lab: LabFleet, step: int) -> float:
     """Roll out a new version.
 
     Returns
@@ -79,7 +81,7 @@
         Seconds from the ticket's acceptance until the last engine serves the version.
     """
     version = f"v{step}"
-    weights = make_weights("drafter", version, CHUNKS, CHUNK_BYTES, lab.seed)
+    weights = generate_weights("drafter", version, CHUNKS, CHUNK_BYTES, lab.seed)
     digest = lab.publish(*weights)
     change = {
         "scope": "drafting",
@@ -102,14 +104,14 @@
     return seconds
 
 
-async def _submit(lab: Lab, vm: str, number: int, change: dict) -> None:
-    url = f"http://{lab.processes[vm].http}/v1/tickets"
+async def _submit(lab: LabFleet, vm: str, number: int, change: dict) -> None:
+    url = f"http://{lab.processes[vm].http_address}/v1/tickets"
     body = to_toml({"number": number, "change": [change]}).encode()
     async with aiohttp.ClientSession(raise_for_status=True) as session:
         await session.post(url, data=body, headers=HEADERS)
 
 
-def _delivery_count(lab: Lab, number: int) -> int:
+def _delivery_count(lab: LabFleet, number: int) -> int:
     rows = lab.table.rows.get("deliveries", {})
     return sum(key.startswith(f"{number:020d}/") for key in rows)
 
@@ -120,17 +122,17 @@
             await asyncio.sleep(POLL_SECONDS)
 
 
-def _seconds_to_receipt(lab: Lab, number: int) -> float:
+def _seconds_to_receipt(lab: LabFleet, number: int) -> float:
     """Return the seconds from a ticket's acceptance to the last agent's receipt."""
     accepted = min(_event_times(lab, "entry", "ticket.accepted", number))
     return max(_event_times(lab, "draft", "ticket.seen", number)) - accepted
 
 
-def _event_times(lab: Lab, kind: str, event: str, number: int) -> Iterator[float]:
+def _event_times(lab: LabFleet, kind: str, event: str, number: int) -> Iterator[float]:
     for vm, process in lab.processes.items():
         if not vm.startswith(kind):
             continue
-        for line in process.events.read_bytes().splitlines():
+        for line in process.events_path.read_bytes().splitlines():
             row = orjson.loads(line)
             if row["message_type"] == event and row["ticket"] == number:
-                yield Stamp.parse(row["hlc"]).micros / 1e6
+                yield Timestamp.parse(row["hlc"]).micros / 1e6
--- a/packages/wasabideck_policy/wasabideck_policy/admission.py
+++ b/packages/wasabideck_policy/wasabideck_policy/admission.py
@@ -4,10 +4,10 @@
 
 from attrs import define, field
 
-from .fair_queue import MOST_URGENT, FairQueue, Waiting
+from .fair_queue import MOST_URGENT, FairQueue, WaitingRequest
 from .outcomes import Failure, NotRun
 
-__all__ = ["OVERLOADED", "SHARE_USED", "Gate", "admit", "late_refusal"]
+__all__ = ["OVERLOADED", "SHARE_USED", "AdmissionControl", "admit", "timeout_refusal"]
 
 SMOOTHING_FACTOR = 0.1
 RESERVED_SLOTS_DIVISOR = 4
@@ -21,25 +21,25 @@
 
 
 @define
-class Gate:
+class AdmissionControl:
     """State on which an agent bases the admission of a request.
 
     Attributes
     ----------
     capacity : int
         Number of requests that the server runs concurrently.
-    service_time : float
+    service_seconds : float
         Smoothed duration of one request, seconds.
     reserve_until : float
         Until when slots are reserved for the most urgent class.
     """
 
     capacity: int
-    service_time: float = 0.1
+    service_seconds: float = 0.1
     running: int = 0
     waiting: int = 0
-    open: bool = False
-    leaving: bool = False
+    accepting: bool = False
+    draining: bool = False
     reserve_until: float = 0.0
     queue: FairQueue = field(factory=FairQueue)
     _start_ratios: dict[int, float] = field(factory=dict)
@@ -56,7 +56,7 @@
         )
         return self.capacity if priority == MOST_URGENT else self.capacity - reserved
 
-    def next(self, now: float) -> Waiting | None:
+    def start_next(self, now: float) -> WaitingRequest | None:
         """Return the request that may start now, if any, and assign it a slot."""
         first = self.queue.first(now)
         if first is None or not self._may_start(first, now):
@@ -66,13 +66,13 @@
         self._count_start(first.priority)
         return first
 
-    def end(self, seconds: float | None) -> None:
+    def release_slot(self, seconds: float | None) -> None:
         """Release a slot; ``seconds`` is how long its request ran, if it did."""
         self.running -= 1
         if seconds is not None:
-            self.service_time += SMOOTHING_FACTOR * (seconds - self.service_time)
+            self.service_seconds += SMOOTHING_FACTOR * (seconds - self.service_seconds)
 
-    def expected_wait(self, waiting: Waiting, now: float) -> float:
+    def expected_wait(self, waiting: WaitingRequest, now: float) -> float:
         """Return the seconds until a request that arrives now would get a slot."""
         slots = self.slots(waiting.priority, now)
         position = self.queue.count_ahead(waiting, now) + 1 - (slots - self.running)
@@ -80,10 +80,10 @@
             return 0.0
         # More urgent requests that arrive while it waits start before it.
         usable = slots * (1 - self._overtaken_ratio(waiting.current_class(now)))
-        return position * self.service_time / max(usable, 1e-9)
+        return position * self.service_seconds / max(usable, 1e-9)
 
-    def _may_start(self, first: Waiting, now: float) -> bool:
-        return self.open and self.running < self.slots(first.priority, now)
+    def _may_start(self, first: WaitingRequest, now: float) -> bool:
+        return self.accepting and self.running < self.slots(first.priority, now)
 
     def _count_start(self, priority: int) -> None:
         for known in {priority, *self._start_ratios}:
@@ -99,16 +99,16 @@
         return min(MAX_OVERTAKEN_RATIO, ratio)
 
 
-def admit(gate: Gate, waiting: Waiting, now: float) -> NotRun | None:
+def admit(gate: AdmissionControl, waiting: WaitingRequest, now: float) -> NotRun | None:
     """Return None if the request may wait or run, and otherwise its final refusal."""
-    if gate.leaving:
+    if gate.draining:
         return NotRun(Failure("Leaving", "the server is shutting down"))
-    if not gate.open:
+    if not gate.accepting:
         return NotRun(Failure("NotServing", "no complete version in effect"), 1.0)
     if waiting.priority == MOST_URGENT:
         gate.reserve_until = now + RESERVE_SECONDS
     wait = gate.expected_wait(waiting, now)
-    slack = waiting.deadline - now - gate.service_time
+    slack = waiting.deadline - now - gate.service_seconds
     # An organisation that already has waiting requests may use only half of the
     # remaining time, so that the queue always has room behind them for the first
     # request of another organisation.
@@ -123,7 +123,9 @@
     return NotRun(Failure(kind, detail), max(MIN_RETRY_AFTER_SECONDS, excess))
 
 
-def late_refusal(gate: Gate, waiting: Waiting, now: float) -> NotRun:
+def timeout_refusal(
+    gate: AdmissionControl, waiting: WaitingRequest, now: float
+) -> NotRun:
     """Return the final refusal of a waiting request that can no longer end in time."""
     wait = max(MIN_RETRY_AFTER_SECONDS, gate.expected_wait(waiting, now))
     return NotRun(Failure(OVERLOADED, "no slot became free in time"), wait)
--- a/packages/wasabideck_policy/wasabideck_policy/arrivals.py
+++ b/packages/wasabideck_policy/wasabideck_policy/attempt_registry.py
@@ -12,10 +12,10 @@
 
 from .outcomes import Failure
 
-__all__ = ["ARRIVAL_SECONDS", "KEEP_SECONDS", "Arrivals"]
+__all__ = ["MAX_REQUEST_AGE_SECONDS", "KEEP_SECONDS", "AttemptRegistry"]
 
 # Maximum age of a run request at its arrival; older ones do not run.
-ARRIVAL_SECONDS = 10.0
+MAX_REQUEST_AGE_SECONDS = 10.0
 # How long an ended or cancelled attempt is remembered. It must be longer than
 # ARRIVAL_SECONDS: otherwise a late request could arrive after its tombstone was
 # deleted, and run.
@@ -23,7 +23,7 @@
 
 
 @define
-class Arrivals:
+class AttemptRegistry:
     """Attempts that arrived at one agent process, and those cancelled before arrival.
 
     Attributes
@@ -37,7 +37,7 @@
     _arrived: dict[str, float | None] = field(factory=dict)
     _tombstones: dict[str, float] = field(factory=dict)
 
-    def arrive(
+    def record_arrival(
         self, name: str, incarnation: str, not_after: float, now: float
     ) -> Failure | None:
         """Record an arrival; return why it must not run, or None if it may."""
@@ -50,9 +50,7 @@
             return Failure("ArrivedLate", f"{now - not_after:.1f} s late")
         return None
 
-    def give_up(
-        self, name: str, incarnation: str, not_after: float, now: float
-    ) -> bool:
+    def cancel(self, name: str, incarnation: str, not_after: float, now: float) -> bool:
         """Cancel an attempt; return whether it certainly has not run and never will.
 
         An unknown attempt either never arrived, or was run by an earlier process, or
@@ -63,13 +61,13 @@
         self._tombstones[name] = now
         # It was sent ARRIVAL_SECONDS before ``not_after`` at the earliest, and every
         # attempt that arrived since then is remembered for KEEP_SECONDS.
-        return now < not_after - ARRIVAL_SECONDS + KEEP_SECONDS
+        return now < not_after - MAX_REQUEST_AGE_SECONDS + KEEP_SECONDS
 
-    def end(self, name: str, now: float) -> None:
+    def record_end(self, name: str, now: float) -> None:
         """Record that an attempt ended, so that it can be forgotten later."""
         self._arrived[name] = now
 
-    def forget_old(self, now: float) -> set[str]:
+    def remove_expired(self, now: float) -> set[str]:
         """Forget attempts that ended or were cancelled long ago; return their names."""
         limit = now - KEEP_SECONDS
         expired = {n for n, t in self._arrived.items() if t is not None and t <= limit}
--- a/packages/wasabideck_policy/wasabideck_policy/backends.py
+++ b/packages/wasabideck_policy/wasabideck_policy/backends.py
@@ -6,9 +6,15 @@
 
 from attrs import define, field, frozen
 
-from .engine_news import MAX_REPORT_AGE_SECONDS, EngineNews
+from .engine_report import MAX_REPORT_AGE_SECONDS, EngineReport
 
-__all__ = ["MAX_UNRESPONSIVE_RATIO", "Backend", "Backends", "Listed", "Loaded"]
+__all__ = [
+    "MAX_UNRESPONSIVE_RATIO",
+    "Backend",
+    "BackendRegistry",
+    "ListedServer",
+    "LoadedLayers",
+]
 
 # After an outage of the list, a server that is still running is listed again within
 # about two seconds. Until then, its removal from the list is ignored.
@@ -38,7 +44,7 @@
 
 
 @frozen
-class Loaded:
+class LoadedLayers:
     """Range of layers of a model's version that an engine holds, ``last`` excluded."""
 
     model: str
@@ -48,14 +54,14 @@
 
 
 @frozen
-class Listed:
+class ListedServer:
     """One server as described by the platform's list.
 
     Attributes
     ----------
     server : str
         Name of one run of the server; a restarted server usually has another name.
-    born : int
+    started_at_ms : int
         Start time, milliseconds of wall time; 0 if unknown.
     cold_seconds : float
         Remaining time for which it is slow after its start.
@@ -68,8 +74,8 @@
     slots: int = 0
     leaving: bool = False
     cold_seconds: float = 0.0
-    loaded: tuple[Loaded, ...] = ()
-    born: int = 0
+    loaded: tuple[LoadedLayers, ...] = ()
+    started_at_ms: int = 0
 
 
 @define(eq=False)
@@ -85,20 +91,20 @@
         while it had none on the server, and had received data since the last wait.
     sent_since_report : int
         Requests that this process sent to it since its agent's last report.
-    unread : set
+    unread_prompts : set
         Requests of this process whose first event has not been received.
-    others : float
+    other_requests : float
         Requests of other processes on it according to the last report of its load.
-    told_at : float
+    load_reported_at : float
         When its load was last reported, seconds; 0 if it never was.
-    heard_at : float
+    last_received_at : float
         When any byte was last received from it, seconds.
     versions : dict of str to int
         Versions of weights that its responses or its agent reported, by model.
-    news : EngineNews or None
-        Last report of its agent, received at ``news_at``. Responses of the server
+    report : EngineNews or None
+        Last report of its agent, received at ``reported_at``. Responses of the server
         itself report only its load.
-    stopping_since : float or None
+    not_serving_since : float or None
         Since when its agent has reported that it accepts no new requests, seconds.
     full_until : float
         Until when it counts as full, because it refused a request.
@@ -106,17 +112,17 @@
         Until when its removal from the list is ignored; 0 while it is listed.
     """
 
-    listed: Listed
+    listed: ListedServer
     in_progress: int = 0
     waiting_since: float = float("-inf")
     sent_since_report: int = 0
-    unread: set[Hashable] = field(factory=set)
-    others: float = 0.0
-    told_at: float = 0.0
-    heard_at: float = 0.0
-    news: EngineNews | None = None
-    news_at: float = 0.0
-    stopping_since: float | None = None
+    unread_prompts: set[Hashable] = field(factory=set)
+    other_requests: float = 0.0
+    load_reported_at: float = 0.0
+    last_received_at: float = 0.0
+    report: EngineReport | None = None
+    reported_at: float = 0.0
+    not_serving_since: float | None = None
     full_until: float = 0.0
     kept_until: float = 0.0
     versions: dict[str, int] = field(factory=dict)
@@ -126,7 +132,7 @@
         """Name of this run of the server."""
         return self.listed.server
 
-    def begin(self, now: float) -> None:
+    def add_request(self, now: float) -> None:
         """Record that this process sends one more request to it."""
         # A server that sent no data before its requests were cancelled remains
         # unresponsive: if the wait started anew with the next request, it would attract
@@ -146,35 +152,35 @@
         return self.in_progress > 0 and now - since > limit
 
     def _last_received_at(self) -> float:
-        return max(self.heard_at, self.news_at)
+        return max(self.last_received_at, self.reported_at)
 
-    def hear_load(self, total: int, now: float) -> None:
+    def apply_load(self, total: int, now: float) -> None:
         """Record the load that the server itself reported in a response."""
-        self.others = max(0, total - self.in_progress)
-        self.told_at = now
-        if self.fresh_news(now) is None:
+        self.other_requests = max(0, total - self.in_progress)
+        self.load_reported_at = now
+        if self.recent_report(now) is None:
             # Its agent is lost. The assumed requests of other entries would only grow
             # with each request, and a healthy server would seem full forever.
             self.sent_since_report = 0
 
-    def hear(self, news: EngineNews, now: float) -> None:
+    def apply_report(self, news: EngineReport, now: float) -> None:
         """Record a report of its agent."""
-        self.news = news
+        self.report = news
         if news.serving:
-            self.stopping_since = None
-        elif self.stopping_since is None:
-            self.stopping_since = now
-        self.others = max(0, news.pressed - self.in_progress)
-        self.told_at = self.news_at = now
+            self.not_serving_since = None
+        elif self.not_serving_since is None:
+            self.not_serving_since = now
+        self.other_requests = max(0, news.load - self.in_progress)
+        self.load_reported_at = self.reported_at = now
         self.sent_since_report = 0
 
-    def fresh_news(self, now: float) -> EngineNews | None:
+    def recent_report(self, now: float) -> EngineReport | None:
         """Return the last report of its agent, or None if it is too old."""
-        return self.news if now - self.news_at <= MAX_REPORT_AGE_SECONDS else None
+        return self.report if now - self.reported_at <= MAX_REPORT_AGE_SECONDS else None
 
-    def holds(self, model: str, layers: int, now: float) -> int:
+    def loaded_version(self, model: str, layers: int, now: float) -> int:
         """Return the version of which it holds all layers of the model; 0 for none."""
-        if report := self.fresh_news(now):
+        if report := self.recent_report(now):
             return report.version
         reported = self.versions.get(model, 0)
         if reported:
@@ -188,20 +194,20 @@
 
 
 @define
-class Backends:
+class BackendRegistry:
     """Servers by name; entries that expired in an outage of the list are kept.
 
     Attributes
     ----------
-    outage_ended : float
+    outage_ended_at : float
         When the list last became available again after an outage, seconds.
-    mass_seconds : float
+    mass_removal_hold_seconds : float
         How long a mass removal is ignored if no outage is known.
     """
 
     _known: dict[str, Backend] = field(factory=dict)
-    outage_ended: float = -RELISTING_SECONDS
-    mass_seconds: float = MASS_REMOVAL_HOLD_SECONDS
+    outage_ended_at: float = -RELISTING_SECONDS
+    mass_removal_hold_seconds: float = MASS_REMOVAL_HOLD_SECONDS
     _at: dict[str, Backend] = field(factory=dict)
     _of_service: dict[str, tuple[Backend, ...]] = field(factory=dict)
     _near: dict[tuple[str, str], tuple[Backend, ...]] = field(factory=dict)
@@ -219,25 +225,27 @@
         """Return a known server, or None."""
         return self._known.get(server)
 
-    def of_service(self, service: str, now: float) -> tuple[Backend, ...]:
+    def in_service(self, service: str, now: float) -> tuple[Backend, ...]:
         """Return the servers of a service that may get new requests now."""
         self._drop_removed(now)
         self._index()
         return self._of_service.get(service, ())
 
-    def near(self, service: str, data_centre: str, now: float) -> tuple[Backend, ...]:
+    def in_data_centre(
+        self, service: str, data_centre: str, now: float
+    ) -> tuple[Backend, ...]:
         """Return the servers in one data centre that may get new requests now."""
         self._drop_removed(now)
         self._index()
         return self._near.get((service, data_centre), ())
 
-    def may_get(self, server: str, now: float) -> bool:
+    def accepts_requests(self, server: str, now: float) -> bool:
         """Whether a server may still get new requests now."""
         self._drop_removed(now)
         known = self._known.get(server)
         return known is not None and not known.listed.leaving
 
-    def way_silent(self, data_centre: str, now: float) -> bool:
+    def is_network_unresponsive(self, data_centre: str, now: float) -> bool:
         """Whether the network to a data centre is unresponsive, and not one server.
 
         A link between regions that is saturated for a second delays the responses of
@@ -257,19 +265,19 @@
             and unresponsive > len(busy) * MAX_UNRESPONSIVE_RATIO
         )
 
-    def at(self, address: str) -> Backend | None:
+    def find_by_address(self, address: str) -> Backend | None:
         """Return the server at an address; of several, the last one that started."""
         self._index()
         return self._at.get(address)
 
-    def take(self, listed: Listed) -> Backend:
+    def update(self, listed: ListedServer) -> Backend:
         """Add or update one entry of the list, and return its server."""
         self._indexed = False
         known = self._known.get(listed.server)
         if known is None or known.listed.address != listed.address:
             known = self._known[listed.server] = Backend(listed)
             return known
-        if known.listed.born != listed.born:
+        if known.listed.started_at_ms != listed.started_at_ms:
             # It restarted under the same name and has lost its former state.
             known = self._known[listed.server] = Backend(listed)
         elif known.listed.loaded != listed.loaded:
@@ -278,7 +286,7 @@
         known.kept_until = 0.0
         return known
 
-    def keep_only(self, listed: set[str], now: float, since: float) -> list[str]:
+    def remove_unlisted(self, listed: set[str], now: float, since: float) -> list[str]:
         """Remove the servers that a complete list lacks, and return their names."""
         removed = [name for name in self._known if name not in listed]
         self.remove(removed, now, since)
@@ -299,9 +307,9 @@
         self._indexed = False
         since = now if since is None else since
         removed = [self._known[name] for name in servers if name in self._known]
-        kept_until = self.outage_ended + RELISTING_SECONDS
+        kept_until = self.outage_ended_at + RELISTING_SECONDS
         if self._is_mass_removal(removed):
-            kept_until = max(kept_until, since + self.mass_seconds)
+            kept_until = max(kept_until, since + self.mass_removal_hold_seconds)
         for backend in removed:
             # A server that was last listed as shutting down has shut down.
             if kept_until <= now or backend.listed.leaving:
@@ -331,7 +339,7 @@
         self._at = {}
         for b in self._known.values():
             other = self._at.get(b.listed.address)
-            if other is None or other.listed.born < b.listed.born:
+            if other is None or other.listed.started_at_ms < b.listed.started_at_ms:
                 self._at[b.listed.address] = b
         found: dict[str, list[Backend]] = {}
         for b in self._known.values():
@@ -362,8 +370,8 @@
     the weights that they held. A process that starts then has no other information on
     them; the requests that it sends there are refused, which costs each one attempt.
     """
-    born = backend.listed.born
-    return 0 < born < latest_at[backend.listed.address].listed.born
+    born = backend.listed.started_at_ms
+    return 0 < born < latest_at[backend.listed.address].listed.started_at_ms
 
 
 def _count_by_service(backends: Iterable[Backend]) -> Mapping[str, int]:
--- a/packages/wasabideck_policy/wasabideck_policy/affinity.py
+++ b/packages/wasabideck_policy/wasabideck_policy/cache_affinity.py
@@ -9,7 +9,7 @@
 import xxhash
 from attrs import define, field
 
-__all__ = ["CacheView", "home_server", "prefix_name"]
+__all__ = ["PrefixCacheView", "home_server", "prefix_digest"]
 
 PREFIX_BYTES = 64
 # Expiry of all known prefixes after an event was missed: the event may have reported
@@ -27,7 +27,7 @@
 S = TypeVar("S", bound=_HasVM)
 
 
-def prefix_name(body: bytes) -> str:
+def prefix_digest(body: bytes) -> str:
     """Return the name of a prompt's prefix, a short digest."""
     return hashlib.sha256(body[:PREFIX_BYTES]).hexdigest()[:8]
 
@@ -45,7 +45,7 @@
 
 
 @define
-class CacheView:
+class PrefixCacheView:
     """Prefixes that an engine probably has in its cache.
 
     Attributes
@@ -74,7 +74,7 @@
                 self._expires_at.pop(name, None)
             self.changes += 1
 
-    def held(self, now: float) -> list[str]:
+    def cached_prefixes(self, now: float) -> list[str]:
         """Return the prefixes that have not expired."""
         expired = [name for name, at in self._expires_at.items() if at < now]
         for name in expired:
--- a/packages/wasabideck_policy/wasabideck_policy/claims.py
+++ b/packages/wasabideck_policy/wasabideck_policy/claims.py
@@ -15,11 +15,11 @@
     "RELEASED",
     "RUNNING",
     "Claim",
-    "Verdict",
+    "Decision",
     "claim_key",
-    "following",
-    "judge",
-    "released",
+    "next_row",
+    "decide",
+    "as_released",
 ]
 
 RUNNING = "running"
@@ -60,7 +60,7 @@
 
 
 @frozen
-class Verdict:
+class Decision:
     """What to do with an attempt, given the claim found in the table.
 
     Attributes
@@ -83,12 +83,12 @@
     return f"{len(organisation)}:{organisation}/{key}"
 
 
-def released(claim: Claim) -> Claim:
+def as_released(claim: Claim) -> Claim:
     """Return the claim as released by its own attempt: nothing ran under it."""
     return evolve(claim, state=RELEASED, answer="")
 
 
-def following(found: Claim | None, row: Claim) -> Claim:
+def next_row(found: Claim | None, row: Claim) -> Claim:
     """Return the row that replaces the one found, with its barred attempts."""
     if found is None:
         return evolve(row, draw=1)
@@ -96,18 +96,18 @@
     return evolve(row, draw=found.draw + 1, barred=barred)
 
 
-def judge(wanted: Claim, found: Claim) -> Verdict:
+def decide(wanted: Claim, found: Claim) -> Decision:
     """Compare the requested claim with the one in the table."""
     if wanted.attempt in found.barred and found.state != DONE:
-        return Verdict("give-up", found)
+        return Decision("give-up", found)
     if found.state == RELEASED:
-        return Verdict("retake", found)
+        return Decision("retake", found)
     if found.body_digest != wanted.body_digest:
-        return Verdict("refuse", found)
+        return Decision("refuse", found)
     if found.state == DONE:
-        return Verdict("replay", found)
+        return Decision("replay", found)
     # The response to the insert may have been lost after it took effect. A running
     # claim of the same attempt is therefore our own, and nobody else can hold it.
     if found.attempt == wanted.attempt:
-        return Verdict("run", found)
-    return Verdict("ask-holder", found)
+        return Decision("run", found)
+    return Decision("ask-holder", found)
--- a/packages/wasabideck_policy/wasabideck_policy/beliefs.py
+++ b/packages/wasabideck_policy/wasabideck_policy/cluster_state.py
@@ -4,10 +4,10 @@
 
 from attrs import define, field
 
-from .backends import Backends
+from .backends import BackendRegistry
 from .configuration import Configuration
 
-__all__ = ["Beliefs", "NamedVersion"]
+__all__ = ["ClusterState", "DeclaredVersion"]
 
 # A process that has had no contact with the store for longer than this may lack a
 # newer configuration. It then refuses what it does not know as "not run" instead of
@@ -16,83 +16,85 @@
 
 
 @define
-class NamedVersion:
+class DeclaredVersion:
     """A version of weights that the operators declared.
 
     Attributes
     ----------
-    since : float
+    allowed_from : float
         Start of the time allowed for servers to change to the version, seconds.
-    certain : bool
-        Whether the version was declared no earlier than ``since``. Otherwise its
+    declaration_time_known : bool
+        Whether the version was declared no earlier than ``allowed_from``. Otherwise its
         declaration time is unknown, and the version is treated as expired.
-    heard_at : float
+    received_at : float
         When this process learned of the version, which was declared before that.
     """
 
     number: int
-    since: float
-    certain: bool = True
-    heard_at: float = float("-inf")
+    allowed_from: float
+    declaration_time_known: bool = True
+    received_at: float = float("-inf")
 
     def age(self, now: float) -> float:
         """Return the minimum number of seconds since the declaration."""
-        return now - (self.since if self.certain else self.heard_at)
+        return now - (
+            self.allowed_from if self.declaration_time_known else self.received_at
+        )
 
 
 @define
-class Beliefs:
+class ClusterState:
     """Configuration, servers and declared versions, as far as this process knows.
 
     Attributes
     ----------
-    began : float
+    started_at : float
         When this process started, seconds.
-    listed : bool
+    servers_known : bool
         Whether the list of servers was read at least once.
-    heard_at : float
+    last_contact_at : float
         When the store, or a peer acting for it, last answered, seconds.
     entries : int
         Number of entries in the deployment, including this one.
-    near_entries : int
+    local_entries : int
         Number of those entries in this process's data centre.
     """
 
-    began: float
+    started_at: float
     configuration: Configuration | None = None
-    backends: Backends = field(factory=Backends)
-    _versions: dict[str, list[NamedVersion]] = field(factory=dict)
-    listed: bool = False
-    heard_at: float = -STALE_SECONDS
+    backends: BackendRegistry = field(factory=BackendRegistry)
+    _versions: dict[str, list[DeclaredVersion]] = field(factory=dict)
+    servers_known: bool = False
+    last_contact_at: float = -STALE_SECONDS
     entries: int = 1
-    near_entries: int = 1
+    local_entries: int = 1
 
     @property
     def ready(self) -> bool:
         """Whether requests can be routed at all."""
-        return self.configuration is not None and self.listed
+        return self.configuration is not None and self.servers_known
 
     def stale(self, now: float) -> bool:
         """Whether a newer configuration may exist that was not yet received."""
-        return now - self.heard_at > STALE_SECONDS
+        return now - self.last_contact_at > STALE_SECONDS
 
-    def name_version(
+    def declare_version(
         self,
         model: str,
         number: int,
         since: float,
-        certain: bool = True,
-        heard_at: float | None = None,
+        declaration_time_known: bool = True,
+        received_at: float | None = None,
     ) -> bool:
         """Record a declared version; return whether it is newer than the known one."""
         if number <= self.newest_version(model):
             return False
-        heard_at = since if heard_at is None else heard_at
-        declared = NamedVersion(number, since, certain, heard_at)
+        received_at = since if received_at is None else received_at
+        declared = DeclaredVersion(number, since, declaration_time_known, received_at)
         self._versions.setdefault(model, []).append(declared)
         return True
 
-    def date_version(self, model: str, number: int, since: float) -> bool:
+    def record_declaration_time(self, model: str, number: int, since: float) -> bool:
         """Record a version's declaration time; return whether it is earlier than known.
 
         The earliest reported time wins: a process that learned of a version late, or
@@ -105,23 +107,25 @@
         versions = self._versions.setdefault(model, [])
         known = next((v for v in versions if v.number == number), None)
         if known is None:
-            versions.append(NamedVersion(number, since))
+            versions.append(DeclaredVersion(number, since))
             versions.sort(key=lambda declared: declared.number)
             return True
-        if known.certain and known.since <= since:
+        if known.declaration_time_known and known.allowed_from <= since:
             return False
-        if not known.certain and known.heard_at < since:
+        if not known.declaration_time_known and known.received_at < since:
             # The version was already known here before the reported time.
             return False
-        known.since, known.certain = since, True
+        known.allowed_from, known.declaration_time_known = since, True
         return True
 
-    def undated(self, model: str) -> bool:
+    def declaration_time_unknown(self, model: str) -> bool:
         """Whether the newest version's declaration time is only an estimate."""
         newest = self.newest(model)
-        return newest is not None and not newest.certain
+        return newest is not None and not newest.declaration_time_known
 
-    def undated_models(self, allowed_seconds: float, now: float) -> list[str]:
+    def models_without_declaration_time(
+        self, allowed_seconds: float, now: float
+    ) -> list[str]:
         """Return models with a version of unknown declaration time, if not expired.
 
         Parameters
@@ -132,7 +136,10 @@
         return [
             model
             for model, versions in self._versions.items()
-            if any(not v.certain and v.age(now) < allowed_seconds for v in versions)
+            if any(
+                not v.declaration_time_known and v.age(now) < allowed_seconds
+                for v in versions
+            )
         ]
 
     def version_ages(
@@ -155,7 +162,9 @@
         versions = self._versions.get(model, [])
         expired = [v.number for v in versions if v.age(now) >= allowed_seconds]
         reported = [v for v in versions if v.number >= max(expired, default=0)]
-        if not all(v.certain or v.age(now) >= allowed_seconds for v in reported):
+        if not all(
+            v.declaration_time_known or v.age(now) >= allowed_seconds for v in reported
+        ):
             return {}
         return {v.number: v.age(now) for v in reported}
 
@@ -164,21 +173,23 @@
         newest = self.newest(model)
         return newest.number if newest else 0
 
-    def newest_dated(self, model: str) -> int:
+    def newest_with_known_time(self, model: str) -> int:
         """Return the newest version whose declaration time is known; 0 for none."""
-        numbers = (v.number for v in self._versions.get(model, ()) if v.certain)
+        numbers = (
+            v.number for v in self._versions.get(model, ()) if v.declaration_time_known
+        )
         return max(numbers, default=0)
 
     def versions(self, model: str) -> list[int]:
         """Return the numbers of the known declared versions, the oldest first."""
         return [declared.number for declared in self._versions.get(model, ())]
 
-    def newest(self, model: str) -> NamedVersion | None:
+    def newest(self, model: str) -> DeclaredVersion | None:
         """Return the newest declared version known here; None if there is none."""
         versions = self._versions.get(model)
         return versions[-1] if versions else None
 
-    def least_version(self, model: str, allowed_seconds: float, now: float) -> int:
+    def min_version(self, model: str, allowed_seconds: float, now: float) -> int:
         """Return the oldest version on which a request may start; 0 for any.
 
         Parameters
@@ -191,11 +202,11 @@
         due = (
             declared.number
             for declared in self._versions.get(model, ())
-            if now - declared.since >= allowed_seconds
+            if now - declared.allowed_from >= allowed_seconds
         )
         return max(due, default=0)
 
-    def surely_due(
+    def min_version_for_irreversible(
         self, model: str, allowed_seconds: float, at: float, undated_after: float
     ) -> int:
         """Return ``least_version`` for irreversible steps.
@@ -213,11 +224,13 @@
             declared.number
             for declared in self._versions.get(model, ())
             if declared.age(at)
-            >= (allowed_seconds if declared.certain else undated_after)
+            >= (allowed_seconds if declared.declaration_time_known else undated_after)
         )
         return max(due, default=0)
 
-    def over_at(self, model: str, version: int, allowed_seconds: float) -> float | None:
+    def expires_at(
+        self, model: str, version: int, allowed_seconds: float
+    ) -> float | None:
         """Return when requests may no longer start on a version, seconds.
 
         None while no newer version is declared.
@@ -227,6 +240,8 @@
         allowed_seconds : float
             Seconds allowed for servers to change to a declared version.
         """
-        newer = (v.since for v in self._versions.get(model, ()) if v.number > version)
+        newer = (
+            v.allowed_from for v in self._versions.get(model, ()) if v.number > version
+        )
         first = min(newer, default=None)
         return None if first is None else first + allowed_seconds
--- a/packages/wasabideck_policy/wasabideck_policy/concurrency.py
+++ b/packages/wasabideck_policy/wasabideck_policy/concurrency_limit.py
@@ -4,7 +4,7 @@
 
 from attrs import define
 
-__all__ = ["AdaptiveLimit"]
+__all__ = ["AdaptiveConcurrencyLimit"]
 
 SMOOTHING_FACTOR = 0.1
 MIN_QUEUED_REQUESTS = 0.5
@@ -18,7 +18,7 @@
 
 
 @define
-class AdaptiveLimit:
+class AdaptiveConcurrencyLimit:
     """Concurrency limit that depends on the duration of requests.
 
     Requests that queue inside the server increase the duration of its responses. The
@@ -33,7 +33,7 @@
     """
 
     limit: float
-    most: float
+    max_limit: float
     min_limit: float = 1.0
     min_seconds: float = 0.0
     seconds: float = 0.0
@@ -53,7 +53,7 @@
         if queued > MAX_QUEUED_REQUESTS:
             self.limit = max(self.min_limit, self.limit - LIMIT_DECREASE)
         elif queued < MIN_QUEUED_REQUESTS and running >= int(self.limit):
-            self.limit = min(self.most, self.limit + 1 / self.limit)
+            self.limit = min(self.max_limit, self.limit + 1 / self.limit)
 
     @property
     def slots(self) -> int:
--- a/packages/wasabideck_policy/wasabideck_policy/configuration.py
+++ b/packages/wasabideck_policy/wasabideck_policy/configuration.py
@@ -14,7 +14,7 @@
     "EngineModel",
     "Kind",
     "Organisation",
-    "OriginPlace",
+    "OriginServer",
     "Route",
     "Service",
 ]
@@ -34,13 +34,13 @@
 
     Attributes
     ----------
-    timeout, goal, pause : float
+    timeout_seconds, target_seconds, max_event_interval_seconds : float
         Seconds: the maximum time that a caller waits, the target time for a response
         (for a stream: its first event), and the maximum interval between two events
         that a caller accepts.
     shares : tuple of (str, float)
         Services and their shares of the traffic.
-    attempts : int
+    max_attempts : int
         Maximum number of servers that one request may be sent to.
     resumable : bool
         Whether another server can continue an interrupted stream.
@@ -50,14 +50,14 @@
     host: str
     prefix: str
     kind: Kind
-    timeout: float
-    goal: float
+    timeout_seconds: float
+    target_seconds: float
     shares: tuple[tuple[str, float], ...]
-    attempts: int = 1
+    max_attempts: int = 1
     priority: int = 5
     public: bool = False
     resumable: bool = False
-    pause: float = 0.0
+    max_event_interval_seconds: float = 0.0
 
     @property
     def idempotent(self) -> bool:
@@ -78,15 +78,15 @@
 
     Attributes
     ----------
-    slots : int
+    max_running_requests : int
         Maximum number of requests that an engine runs at once.
-    step, step_per_request : float
+    step_seconds, step_seconds_per_request : float
         Seconds per token step, and the seconds that each running request adds to it.
-    read_rate : float
+    prompt_tokens_per_second : float
         Prompt tokens processed per second.
-    stride : int
+    steps_per_pass : int
         Token steps per pass.
-    kv_capacity : int
+    kv_cache_tokens : int
         Number of tokens that fit into an engine's key-value cache.
     layers, chunks, chunk_bytes : int
         Number of layers of the model, number of chunks of its weights, and size of a
@@ -96,12 +96,12 @@
     """
 
     model: str
-    slots: int
-    step: float
-    step_per_request: float
-    read_rate: float
-    stride: int = 1
-    kv_capacity: int = 0
+    max_running_requests: int
+    step_seconds: float
+    step_seconds_per_request: float
+    prompt_tokens_per_second: float
+    steps_per_pass: int = 1
+    kv_cache_tokens: int = 0
     layers: int = 0
     chunks: int = 0
     chunk_bytes: int = 0
@@ -109,12 +109,12 @@
 
 
 @frozen
-class OriginPlace:
+class OriginServer:
     """Address of the origin of weights, its data centre, and its bytes per second."""
 
     address: str
     data_centre: str
-    rate: float
+    bytes_per_second: float
 
 
 @frozen
@@ -124,17 +124,17 @@
     name: str
     max_connections: int = 0
     engine: EngineModel | None = None
-    origin: OriginPlace | None = None
+    origin: OriginServer | None = None
 
 
 @frozen
 class CallerLimits:
     """Maximum sizes (bytes) and times (seconds) of what a caller sends."""
 
-    header_bytes: int = 16384
-    body_bytes: int = 4 << 20
-    header_seconds: float = 3.0
-    idle_seconds: float = 15.0
+    max_header_bytes: int = 16384
+    max_body_bytes: int = 4 << 20
+    header_timeout_seconds: float = 3.0
+    idle_timeout_seconds: float = 15.0
 
 
 @frozen
@@ -170,7 +170,7 @@
                 return route
         return None
 
-    def origin(self) -> OriginPlace | None:
+    def origin(self) -> OriginServer | None:
         """Return the origin of weights, or None when there is none."""
         origins = (service.origin for service in self.services.values())
         return next((origin for origin in origins if origin), None)
--- a/packages/wasabideck_policy/wasabideck_policy/declarations.py
+++ b/packages/wasabideck_policy/wasabideck_policy/declarations.py
@@ -11,7 +11,7 @@
     "Declaration",
     "Declarations",
     "weights_key",
-    "weights_model",
+    "model_of_key",
 ]
 
 # Key of the operators' configuration.
@@ -23,7 +23,7 @@
     return f"weights/{model}"
 
 
-def weights_model(key: str) -> str:
+def model_of_key(key: str) -> str:
     """Return the model of a key that ``weights_key`` returned."""
     return key.partition("/")[2]
 
--- a/packages/wasabideck_policy/wasabideck_policy/deliveries.py
+++ b/packages/wasabideck_policy/wasabideck_policy/delivery_row.py
@@ -4,7 +4,7 @@
 
 from attrs import define, field
 
-__all__ = ["Delivery", "row_key"]
+__all__ = ["Delivery", "delivery_key"]
 
 
 @define
@@ -30,6 +30,6 @@
     sources: dict[str, int] = field(factory=dict)
 
 
-def row_key(delivery: Delivery) -> str:
+def delivery_key(delivery: Delivery) -> str:
     """Return the row key, which starts with the ticket: a report reads one range."""
     return f"{delivery.ticket:020d}/{delivery.service}/{delivery.vm}/{delivery.slot}"
--- a/packages/wasabideck_policy/wasabideck_policy/engine_news.py
+++ b/packages/wasabideck_policy/wasabideck_policy/engine_report.py
@@ -6,18 +6,23 @@
 
 from attrs import frozen
 
-__all__ = ["MAX_REPORT_AGE_SECONDS", "EngineNews", "back_in", "worth_telling"]
+__all__ = [
+    "MAX_REPORT_AGE_SECONDS",
+    "EngineReport",
+    "seconds_until_ready",
+    "is_major_change",
+]
 
 # Maximum age of a report; older ones are ignored. An agent reports four times a second,
 # and a datagram or two may be lost.
 MAX_REPORT_AGE_SECONDS = 1.2
 # A change by this many requests is reported immediately also to processes that get
 # less frequent reports.
-BIG_CHANGE = 4
+MAJOR_CHANGE_REQUESTS = 4
 
 
 @frozen
-class EngineNews:
+class EngineReport:
     """One agent's report on its engine.
 
     Attributes
@@ -29,9 +34,9 @@
         Whether it accepts new requests: no swap is due or in progress.
     ready_in : float
         Seconds until it serves the newest version known to the agent; 0 if it does.
-    named : int
+    newest_version : int
         The newest version of known age that the agent knows.
-    pace : float
+    slowdown : float
         Factor by which it is slower than usual.
     """
 
@@ -41,17 +46,17 @@
     running: int
     waiting: int
     ready_in: float = 0.0
-    named: int = 0
-    pace: float = 1.0
+    newest_version: int = 0
+    slowdown: float = 1.0
 
     @property
-    def pressed(self) -> int:
+    def load(self) -> int:
         """Number of requests on it, running or waiting."""
         return self.running + self.waiting
 
 
-def back_in(
-    news: Iterable[tuple[EngineNews, float]], least_version: int
+def seconds_until_ready(
+    news: Iterable[tuple[EngineReport, float]], least_version: int
 ) -> float | None:
     """Return the seconds until the first engine may run a request; None if unknown.
 
@@ -66,19 +71,19 @@
     for report, age in news:
         if report.serving and report.version >= max(least_version, 1):
             return 0.0
-        if report.named >= least_version and report.ready_in > 0:
+        if report.newest_version >= least_version and report.ready_in > 0:
             delays.append(report.ready_in - age)
     return max(0.05, min(delays)) if delays else None
 
 
-def worth_telling(last: EngineNews | None, news: EngineNews) -> bool:
+def is_major_change(last: EngineReport | None, news: EngineReport) -> bool:
     """Whether a report differs enough from the last one to be sent to all at once."""
     if last is None:
         return True
-    if (last.serving, last.version, last.named) != (
+    if (last.serving, last.version, last.newest_version) != (
         news.serving,
         news.version,
-        news.named,
+        news.newest_version,
     ):
         return True
-    return abs(last.pressed - news.pressed) >= BIG_CHANGE
+    return abs(last.load - news.load) >= MAJOR_CHANGE_REQUESTS
--- a/packages/wasabideck_policy/wasabideck_policy/engine_state.py
+++ b/packages/wasabideck_policy/wasabideck_policy/engine_state.py
@@ -6,15 +6,15 @@
 
 from attrs import frozen
 
-from .backends import Loaded
+from .backends import LoadedLayers
 
-__all__ = ["EngineState", "OrderAnswer"]
+__all__ = ["EngineState", "OrderResponse"]
 
 
-class OrderAnswer(Enum):
+class OrderResponse(Enum):
     """An engine's response to an order to load weights."""
 
-    BEGUN = "begun"
+    STARTED = "begun"
     IN_EFFECT = "in-effect"
     REFUSED = "refused"
 
@@ -27,26 +27,26 @@
     ----------
     loaded : tuple of Loaded
         Ranges of layers that it holds.
-    busy : bool
+    order_in_progress : bool
         Whether an order is in progress.
-    orders : int
+    accepted_orders : int
         Orders that it has accepted since it started.
     running, waiting : int
         Number of requests.
     memory_used, memory_total : float
         Used and total size of its memory, in tokens times layers.
-    pace : float
+    slowdown : float
         Factor by which it is slower than usual.
-    born : int
+    started_at_ms : int
         Start time, milliseconds of wall time.
     """
 
-    loaded: tuple[Loaded, ...] = ()
-    busy: bool = False
-    orders: int = 0
+    loaded: tuple[LoadedLayers, ...] = ()
+    order_in_progress: bool = False
+    accepted_orders: int = 0
     running: int = 0
     waiting: int = 0
     memory_used: float = 0.0
     memory_total: float = 0.0
-    pace: float = 1.0
-    born: int = 0
+    slowdown: float = 1.0
+    started_at_ms: int = 0
--- a/packages/wasabideck_policy/wasabideck_policy/fair_queue.py
+++ b/packages/wasabideck_policy/wasabideck_policy/fair_queue.py
@@ -11,7 +11,7 @@
 
 from attrs import define, field, frozen
 
-__all__ = ["AGING_SECONDS", "MOST_URGENT", "FairQueue", "Waiting"]
+__all__ = ["AGING_SECONDS", "MOST_URGENT", "FairQueue", "WaitingRequest"]
 
 MOST_URGENT = 0
 # Each time a request has waited this long, it is raised by one class, but never into
@@ -22,12 +22,12 @@
 
 
 @frozen(eq=False)
-class Waiting:
+class WaitingRequest:
     """A request that waits for a slot.
 
     Attributes
     ----------
-    since : float
+    arrived_at : float
         Arrival time, seconds.
     deadline : float
         When its response must be complete, seconds.
@@ -35,14 +35,14 @@
 
     organisation: str
     priority: int
-    since: float
+    arrived_at: float
     deadline: float
 
     def current_class(self, now: float) -> int:
         """Return its priority class now; the number decreases while it waits."""
         if self.priority == MOST_URGENT:
             return MOST_URGENT
-        raised = int((now - self.since) / AGING_SECONDS)
+        raised = int((now - self.arrived_at) / AGING_SECONDS)
         return max(MOST_URGENT + 1, self.priority - raised)
 
 
@@ -89,25 +89,25 @@
 class FairQueue:
     """Requests that wait at one server."""
 
-    _waiting: list[Waiting] = field(factory=list)
+    _waiting: list[WaitingRequest] = field(factory=list)
     _classes: dict[int, _FairClass] = field(factory=dict)
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingRequest) -> None:
         """Add a waiting request."""
         self._waiting.append(waiting)
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingRequest) -> None:
         """Remove a request that was cancelled, or that got its slot."""
         self._waiting.remove(waiting)
 
-    def first(self, now: float) -> Waiting | None:
+    def first(self, now: float) -> WaitingRequest | None:
         """Return the request that is next, without removing it."""
         return min(self._waiting, key=self._sort_key(now), default=None)
 
-    def dequeue(self, waiting: Waiting, now: float) -> None:
+    def dequeue(self, waiting: WaitingRequest, now: float) -> None:
         """Remove a request that starts, and count its start."""
         self.remove(waiting)
         fair_class = self._classes.setdefault(waiting.current_class(now), _FairClass())
@@ -117,7 +117,7 @@
         """Whether an organisation has a waiting request."""
         return any(w.organisation == organisation for w in self._waiting)
 
-    def count_ahead(self, waiting: Waiting, now: float) -> int:
+    def count_ahead(self, waiting: WaitingRequest, now: float) -> int:
         """Return how many requests would get a slot before one that arrives now."""
         current_class = waiting.current_class(now)
         urgent = sum(w.current_class(now) < current_class for w in self._waiting)
@@ -137,18 +137,20 @@
             same, int(own * fair_class.starts_per_own(waiting.organisation))
         )
 
-    def late(self, now: float, service_time: float) -> list[Waiting]:
+    def expired(self, now: float, service_time: float) -> list[WaitingRequest]:
         """Return the requests that could not end in time even if they started now."""
         return [w for w in self._waiting if now + service_time > w.deadline]
 
-    def _sort_key(self, now: float) -> Callable[[Waiting], tuple[int, float, float]]:
-        def key(waiting: Waiting) -> tuple[int, float, float]:
+    def _sort_key(
+        self, now: float
+    ) -> Callable[[WaitingRequest], tuple[int, float, float]]:
+        def key(waiting: WaitingRequest) -> tuple[int, float, float]:
             current_class = waiting.current_class(now)
             fair_class = self._classes.setdefault(current_class, _FairClass())
             return (
                 current_class,
                 fair_class.start_time(waiting.organisation),
-                waiting.since,
+                waiting.arrived_at,
             )
 
         return key
--- a/packages/wasabideck_policy/wasabideck_policy/distribution.py
+++ b/packages/wasabideck_policy/wasabideck_policy/fetch_policy.py
@@ -7,9 +7,23 @@
 
 from attrs import frozen
 
-from .views import ORIGIN, Fetch, FetchRanking, Peer, View, bits, pick_bit
-
-__all__ = ["SWARM", "Policy", "may_fetch_from_outside", "next_fetch", "whom_to_ask"]
+from .transfer_view import (
+    ORIGIN,
+    Fetch,
+    FetchRanking,
+    Peer,
+    TransferView,
+    bits,
+    pick_bit,
+)
+
+__all__ = [
+    "SWARM",
+    "Policy",
+    "may_fetch_from_outside",
+    "choose_fetch",
+    "peers_to_query",
+]
 
 # Maximum number of holders that one decision considers, so that its cost does not grow
 # with the fleet.
@@ -38,21 +52,21 @@
 
     Attributes
     ----------
-    fetch : callable
+    choose_fetch : callable
         Returns the next fetch for a view, ``now`` and ``rng``; None to wait.
-    ask : callable
+    peers_to_query : callable
         Returns the VMs to query for their holdings now.
-    shares : bool
+    limits_uploads : bool
         Whether a VM that has sent its fair share refuses requests of VMs that are not
         starved.
     """
 
-    fetch: Callable[[View, float, random.Random], Fetch | None]
-    ask: Callable[[View, float, random.Random], list[str]]
-    shares: bool = False
+    choose_fetch: Callable[[TransferView, float, random.Random], Fetch | None]
+    peers_to_query: Callable[[TransferView, float, random.Random], list[str]]
+    limits_uploads: bool = False
 
 
-def next_fetch(view: View, now: float, rng: random.Random) -> Fetch | None:
+def choose_fetch(view: TransferView, now: float, rng: random.Random) -> Fetch | None:
     """Return the next fetch of a VM, or None when it has to wait.
 
     Chunks that other VMs wait for come first: reads from the origin of the chunks
@@ -70,7 +84,7 @@
     )
 
 
-def whom_to_ask(view: View, now: float, rng: random.Random) -> list[str]:
+def peers_to_query(view: TransferView, now: float, rng: random.Random) -> list[str]:
     """Return the few peers to query for their holdings now, at any fleet size."""
     if not view.wanted:
         return []
@@ -86,7 +100,7 @@
 
 
 def may_fetch_from_outside(
-    view: View, ranking: FetchRanking, index: int, now: float
+    view: TransferView, ranking: FetchRanking, index: int, now: float
 ) -> bool:
     """Whether this VM may fetch a chunk from outside its region.
 
@@ -99,28 +113,36 @@
     if position <= 0:
         return position == 0
     times = 2**position - 1
-    if now - max(view.begun, view.progress_at) >= view.limits.patience * times:
+    if (
+        now - max(view.started_at, view.progress_at)
+        >= view.limits.stall_seconds * times
+    ):
         return True
-    if now - view.begun >= _overdue_seconds(view) * times:
+    if now - view.started_at >= _overdue_seconds(view) * times:
         return True
     before = (view.peers.get(vm) for vm in ranking.ranks[index][:position])
     return all(peer is None or peer.lost for peer in before)
 
 
-def _overdue_seconds(view: View) -> float:
+def _overdue_seconds(view: TransferView) -> float:
     """Return the seconds after which the first in rank should have fetched its chunks.
 
     They are counted from the start of the transfer.
     """
-    copy_seconds = len(view.digests) * view.limits.slot
+    copy_seconds = len(view.digests) * view.limits.slot_seconds
     return max(OVERDUE_COPY_RATIO * copy_seconds, MIN_OVERDUE_SECONDS)
 
 
-def _permitted(view: View, ranking: FetchRanking, missing: int, now: float) -> int:
+def _permitted(
+    view: TransferView, ranking: FetchRanking, missing: int, now: float
+) -> int:
     """Return the missing chunks that this VM may fetch from outside its region."""
     permitted = missing & ranking.first
-    waited = now - max(view.begun, view.progress_at)
-    late = waited >= view.limits.patience or now - view.begun >= _overdue_seconds(view)
+    waited = now - max(view.started_at, view.progress_at)
+    late = (
+        waited >= view.limits.stall_seconds
+        or now - view.started_at >= _overdue_seconds(view)
+    )
     if late or any(p.lost for p in view.peers.values()):
         for index in bits(missing & ~permitted):
             if may_fetch_from_outside(view, ranking, index, now):
@@ -128,9 +150,11 @@
     return permitted
 
 
-def _read_origin(view: View, wanted: int, now: float) -> Fetch | None:
-    busy = view.sources[ORIGIN] >= view.limits.reads or now < view.origin_busy_until
-    unavailable = wanted & ~view.seen
+def _read_origin(view: TransferView, wanted: int, now: float) -> Fetch | None:
+    busy = (
+        view.sources[ORIGIN] >= view.limits.origin_reads or now < view.origin_busy_until
+    )
+    unavailable = wanted & ~view.available
     if busy or not unavailable:
         return None
     for index in bits(_permitted(view, view.owners, unavailable, now)):
@@ -140,7 +164,7 @@
     return None
 
 
-def _unread_by_next(view: View, index: int, now: float) -> bool:
+def _unread_by_next(view: TransferView, index: int, now: float) -> bool:
     """Whether the next VM in rank has not already started to read the chunk.
 
     Shortly after the start of a transfer the answer is no until that VM has reported.
@@ -148,12 +172,12 @@
     read long ago. Reading it again would cost the origin another copy.
     """
     successor = _next_in_rank(view, view.owners, index)
-    if successor is None or now - view.begun >= RANK_CHECK_SECONDS:
+    if successor is None or now - view.started_at >= RANK_CHECK_SECONDS:
         return successor is None or not successor.reading >> index & 1
-    return successor.heard_at >= view.begun and not successor.reading >> index & 1
+    return successor.heard_at >= view.started_at and not successor.reading >> index & 1
 
 
-def _next_in_rank(view: View, ranking: FetchRanking, index: int) -> Peer | None:
+def _next_in_rank(view: TransferView, ranking: FetchRanking, index: int) -> Peer | None:
     """Return the next VM in rank after this one that is not lost, or None."""
     later = ranking.ranks[index][ranking.positions[index] + 1 :]
     peers = (view.peers[vm] for vm in later if vm in view.peers)
@@ -161,10 +185,10 @@
 
 
 def _fetch_into_region(
-    view: View, wanted: int, now: float, rng: random.Random
+    view: TransferView, wanted: int, now: float, rng: random.Random
 ) -> Fetch | None:
     lacking = wanted & ~view.available_in_region
-    if view.cross_region_active >= view.limits.far or not lacking:
+    if view.cross_region_active >= view.limits.cross_region_fetches or not lacking:
         return None
     remote = [p for p in view.holders.values() if p.region != view.region]
     free = [p for p in remote if p.busy_until <= now and p.held & lacking]
@@ -176,21 +200,21 @@
         return None
     index = pick_bit(permitted, rng)
     holders = [p for p in free if p.held >> index & 1]
-    return Fetch(index, _less_loaded(holders, rng).vm, far=True)
+    return Fetch(index, _less_loaded(holders, rng).vm, cross_region=True)
 
 
 def _fetch_in_region(
-    view: View, wanted: int, now: float, rng: random.Random
+    view: TransferView, wanted: int, now: float, rng: random.Random
 ) -> Fetch | None:
     active = (
         sum(view.sources.values()) - view.sources[ORIGIN] - view.cross_region_active
     )
-    if active >= view.limits.near:
+    if active >= view.limits.region_fetches:
         return None
     known = [p for p in view.holders.values() if p.region == view.region]
     if len(known) > MAX_HOLDERS_CONSIDERED:
         known = rng.sample(known, MAX_HOLDERS_CONSIDERED)
-    idle = [p for p in known if view.sources[p.vm] < view.limits.a_peer]
+    idle = [p for p in known if view.sources[p.vm] < view.limits.fetches_per_peer]
     free = [p for p in idle if p.busy_until <= now and p.held & wanted]
     in_data_centre = [p for p in free if p.data_centre == view.data_centre]
     free = in_data_centre or free
@@ -202,16 +226,16 @@
 
 
 def _read_spare(
-    view: View, wanted: int, now: float, rng: random.Random
+    view: TransferView, wanted: int, now: float, rng: random.Random
 ) -> Fetch | None:
     """Return the origin read of a chunk that others hold, while its link is idle.
 
     Such a read starts only once every wanted chunk is held by some peer, so that it
     delays no first read of a chunk.
     """
-    if view.spare_reads >= view.limits.spare or wanted & ~view.seen:
+    if view.spare_reads >= view.limits.spare_reads or wanted & ~view.available:
         return None
-    if view.sources[ORIGIN] >= view.limits.reads or now < view.origin_busy_until:
+    if view.sources[ORIGIN] >= view.limits.origin_reads or now < view.origin_busy_until:
         return None
     local = [p for p in view.holders.values() if p.region == view.region]
     index = _rarest(wanted, local, local, rng) if local else pick_bit(wanted, rng)
@@ -250,7 +274,11 @@
 
 
 def _sample_incomplete(
-    view: View, peers: Iterable[Peer], count: int, now: float, rng: random.Random
+    view: TransferView,
+    peers: Iterable[Peer],
+    count: int,
+    now: float,
+    rng: random.Random,
 ) -> list[str]:
     """Return random peers that are not known to hold all chunks.
 
@@ -264,11 +292,11 @@
     return rng.sample(candidates, min(count, len(candidates)))
 
 
-def _rank_checks(view: View, now: float) -> list[str]:
+def _rank_checks(view: TransferView, now: float) -> list[str]:
     """Return neighbours in rank to query, for chunks that nobody is known to hold."""
     checks: dict[str, None] = {}
     for missing, ranking in (
-        (view.wanted & ~view.seen, view.owners),
+        (view.wanted & ~view.available, view.owners),
         (view.wanted & ~view.available_in_region, view.region_fetchers),
     ):
         for index in bits(missing & ranking.monitored):
@@ -279,7 +307,7 @@
 
 
 def _rank_neighbours(
-    view: View, ranking: FetchRanking, index: int, now: float
+    view: TransferView, ranking: FetchRanking, index: int, now: float
 ) -> list[str]:
     """Return the VMs next to this one in rank from which a report is due.
 
@@ -292,9 +320,9 @@
     before = (view.peers[vm] for vm in earlier if vm in view.peers)
     neighbours = [p for p in before if not p.lost][:1]
     successor = _next_in_rank(view, ranking, index) if position == 0 else None
-    if successor is not None and successor.heard_at < view.begun:
+    if successor is not None and successor.heard_at < view.started_at:
         neighbours.append(successor)
     return [p.vm for p in neighbours if now - p.heard_at >= RANK_CHECK_SECONDS]
 
 
-SWARM = Policy(next_fetch, whom_to_ask, shares=True)
+SWARM = Policy(choose_fetch, peers_to_query, limits_uploads=True)
--- a/packages/wasabideck_policy/wasabideck_policy/fetch_window.py
+++ b/packages/wasabideck_policy/wasabideck_policy/fetch_window.py
@@ -35,7 +35,7 @@
         """Start with the maximum."""
         self.limit = self.max_fetches
 
-    def took(self, seconds: float) -> None:
+    def record_duration(self, seconds: float) -> None:
         """Adjust the limit to the duration of a fetch."""
         if seconds > SLOW_FETCH_SLOTS * self.slot_seconds:
             self.limit = max(1, self.limit - 1)
--- a/packages/wasabideck_policy/wasabideck_policy/fresh_share.py
+++ b/packages/wasabideck_policy/wasabideck_policy/in_time_share.py
@@ -14,7 +14,7 @@
 
 from attrs import define
 
-__all__ = ["FreshShare"]
+__all__ = ["InTimeShare"]
 
 MIN_SHARE = 0.1
 # Time constant over which arrivals and completions are counted. A stream lasts 1 to
@@ -29,19 +29,19 @@
 
 
 @define
-class FreshShare:
+class InTimeShare:
     """Fraction of requests to send ahead, from the rate at which requests complete."""
 
     _arrived: float = 0.0
     _completed: float = 0.0
     _counted_at: float = 0.0
 
-    def arrive(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Count a request that arrives."""
         self._decay(now)
         self._arrived += 1
 
-    def end(self, now: float) -> None:
+    def record_completion(self, now: float) -> None:
         """Count a request that received its complete response."""
         self._decay(now)
         self._completed += 1
@@ -53,7 +53,7 @@
             max(MIN_SHARE, COMPLETED_RATIO * self._completed / max(self._arrived, 1.0)),
         )
 
-    def draw(self, rng: random.Random) -> bool:
+    def draw_sent_ahead(self, rng: random.Random) -> bool:
         """Whether one more request is sent ahead, drawn at random."""
         return rng.random() < self.share()
 
--- a/packages/wasabideck_policy/wasabideck_policy/late_lane.py
+++ b/packages/wasabideck_policy/wasabideck_policy/late_requests.py
@@ -16,7 +16,7 @@
 
 from attrs import define, field
 
-__all__ = ["LateLane"]
+__all__ = ["LateRequestLimiter"]
 
 # Time constant over which the rate of sent late requests is measured.
 RATE_WINDOW_SECONDS = 1.5
@@ -25,7 +25,7 @@
 
 
 @define
-class LateLane:
+class LateRequestLimiter:
     """Late requests of one entry: sent but not started by an engine, and queued."""
 
     _unstarted: set[Hashable] = field(factory=set)
@@ -33,7 +33,7 @@
     _sent: float = 0.0
     _counted_at: float = 0.0
 
-    def has_room(self, engines: int, entries: int) -> bool:
+    def may_send(self, engines: int, entries: int) -> bool:
         """Whether one more late request may be sent.
 
         Parameters
@@ -43,7 +43,7 @@
         """
         return len(self._unstarted) < max(1, engines // max(entries, 1))
 
-    def may_wait(self, request: Hashable, seconds: float, now: float) -> bool:
+    def try_enqueue(self, request: Hashable, seconds: float, now: float) -> bool:
         """Whether a request may wait in the queue; adds it to the queue if so.
 
         Parameters
@@ -60,19 +60,19 @@
         self._queue.add(request)
         return True
 
-    def sent(self, request: Hashable, now: float) -> None:
+    def record_sent(self, request: Hashable, now: float) -> None:
         """Record that a late request is sent."""
         self._queue.discard(request)
         self._unstarted.add(request)
         self._decay(now)
         self._sent += 1
 
-    def begun(self, request: Hashable) -> None:
+    def record_started(self, request: Hashable) -> None:
         """Record that the first event was received, even if the request is queued."""
         self._queue.discard(request)
         self._unstarted.discard(request)
 
-    def ended(self, request: Hashable) -> None:
+    def record_ended(self, request: Hashable) -> None:
         """Record that a request has ended, whether it was queued or sent."""
         self._queue.discard(request)
         self._unstarted.discard(request)
--- a/packages/wasabideck_policy/wasabideck_policy/routing.py
+++ b/packages/wasabideck_policy/wasabideck_policy/load_balancing.py
@@ -7,20 +7,22 @@
 
 from attrs import define, field, frozen
 
-from .affinity import home_server
+from .cache_affinity import home_server
 
 __all__ = [
     "POLICIES",
-    "Ask",
-    "Choice",
-    "Server",
+    "RoutingRequest",
+    "LoadBalancingPolicy",
+    "ServerState",
     "expected_wait",
     "least_loaded",
-    "priced",
+    "choose_by_cost",
     "two_choices",
 ]
 
-Choice = Callable[[Sequence["Server"], "Ask", float, random.Random], "Server"]
+LoadBalancingPolicy = Callable[
+    [Sequence["ServerState"], "RoutingRequest", float, random.Random], "ServerState"
+]
 
 DRAWN_SERVERS = 2
 # Cost of a prompt whose prefix is not cached, in seconds of waiting.
@@ -32,7 +34,7 @@
 
 
 @frozen
-class Ask:
+class RoutingRequest:
     """Properties of a request that matter for the choice.
 
     Attributes
@@ -46,7 +48,7 @@
 
 
 @define(eq=False)
-class Server:
+class ServerState:
     """State of one backend server, as known to an entry.
 
     Attributes
@@ -106,15 +108,15 @@
         return max(self.in_progress, self.reported + since)
 
 
-def expected_wait(server: Server, now: float) -> float:
+def expected_wait(server: ServerState, now: float) -> float:
     """Return the expected wait of one more request on a server, itself included."""
     load_with_request = server.estimated_load(now) + 1
     return load_with_request * server.service_time / max(server.capacity, 1)
 
 
-def priced(
-    servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
-) -> Server:
+def choose_by_cost(
+    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+) -> ServerState:
     """Return the cheapest of a few servers.
 
     The candidates are two random servers of the entry's own region, two of the other
@@ -131,7 +133,7 @@
     if ask.prefix:
         drawn += [s for s in servers if ask.prefix in s.prefixes or s is prefix_home]
 
-    def cost(server: Server) -> float:
+    def cost(server: ServerState) -> float:
         seconds = expected_wait(server, now)
         if ask.prefix and ask.prefix not in server.prefixes:
             # The prefix's home is the server that will cache the prefix.
@@ -146,19 +148,22 @@
 
 
 def two_choices(
-    servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
-) -> Server:
+    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+) -> ServerState:
     """Return the one of two random servers with the shorter expected wait."""
     return min(_draw(servers, rng), key=lambda s: expected_wait(s, now))
 
 
-def round_robin() -> Choice:
+def round_robin() -> LoadBalancingPolicy:
     """Return a policy that uses the servers in round-robin order."""
     index = 0
 
     def choose(
-        servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
-    ) -> Server:
+        servers: Sequence[ServerState],
+        ask: RoutingRequest,
+        now: float,
+        rng: random.Random,
+    ) -> ServerState:
         nonlocal index
         index += 1
         return servers[index % len(servers)]
@@ -167,36 +172,36 @@
 
 
 def uniform(
-    servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
-) -> Server:
+    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+) -> ServerState:
     """Return a server drawn with uniform probability."""
     return rng.choice(servers)
 
 
 def least_loaded(
-    servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
-) -> Server:
+    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+) -> ServerState:
     """Return the server with the fewest requests of this entry in progress."""
     return min(servers, key=lambda server: (server.in_progress, rng.random()))
 
 
 def reported_two_choices(
-    servers: Sequence[Server], ask: Ask, now: float, rng: random.Random
-) -> Server:
+    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+) -> ServerState:
     """Return the better of two random servers by their own, delayed reports."""
 
-    def load(server: Server) -> float:
+    def load(server: ServerState) -> float:
         return server.in_progress / max(server.capacity, 1) + server.load
 
     return min(_draw(servers, rng), key=load)
 
 
-def _draw(servers: Sequence[Server], rng: random.Random) -> list[Server]:
+def _draw(servers: Sequence[ServerState], rng: random.Random) -> list[ServerState]:
     return rng.sample(servers, min(DRAWN_SERVERS, len(servers)))
 
 
-POLICIES: dict[str, Callable[[], Choice]] = {
-    "priced": lambda: priced,
+POLICIES: dict[str, Callable[[], LoadBalancingPolicy]] = {
+    "priced": lambda: choose_by_cost,
     "two-choices": lambda: two_choices,
     "reported-two-choices": lambda: reported_two_choices,
     "round-robin": round_robin,
--- a/packages/wasabideck_policy/wasabideck_policy/manifests.py
+++ b/packages/wasabideck_policy/wasabideck_policy/manifests.py
@@ -16,14 +16,14 @@
     "CorruptChunk",
     "CorruptManifest",
     "Manifest",
-    "Word",
-    "agreed",
+    "ManifestReport",
+    "confirmed_manifest",
     "chunk_digest",
-    "likeliest",
+    "most_reported",
     "manifest_from_json",
     "manifest_to_json",
-    "numbered_from_json",
-    "numbered_name",
+    "numbered_manifest_from_json",
+    "numbered_manifest_name",
     "verify_chunk",
 ]
 
@@ -65,7 +65,7 @@
         return hashlib.sha256(manifest_to_json(self)).hexdigest()
 
     @cached_property
-    def places(self) -> dict[str, list[int]]:
+    def chunk_indices(self) -> dict[str, list[int]]:
         """Return the indices of each chunk; equal chunks occur at several indices."""
         places: dict[str, list[int]] = {}
         for index, digest in enumerate(self.chunks):
@@ -106,7 +106,7 @@
     return manifest
 
 
-def numbered_name(model: str, version: str | int) -> str:
+def numbered_manifest_name(model: str, version: str | int) -> str:
     """Return the name by which a numbered version's manifest is requested.
 
     It never has the form of a digest.
@@ -114,7 +114,7 @@
     return f"{model}/{version}"
 
 
-def numbered_from_json(data: bytes, model: str, version: int) -> Manifest:
+def numbered_manifest_from_json(data: bytes, model: str, version: int) -> Manifest:
     """Return the manifest of a numbered version, whose digest is not known beforehand.
 
     Raises
@@ -124,8 +124,8 @@
     """
     digest = hashlib.sha256(data).hexdigest()
     manifest = manifest_from_json(data, digest)
-    actual = numbered_name(manifest.model, manifest.version)
-    if actual != numbered_name(model, version):
+    actual = numbered_manifest_name(manifest.model, manifest.version)
+    if actual != numbered_manifest_name(model, version):
         raise CorruptManifest(digest, f"belongs to another version: {actual}")
     if not all(
         isinstance(c, str) and len(c) == DIGEST_CHARACTERS for c in manifest.chunks
@@ -135,27 +135,27 @@
 
 
 @frozen
-class Word:
+class ManifestReport:
     """A numbered version's manifest, as reported by one agent.
 
     Attributes
     ----------
-    whole : bool
+    complete : bool
         Whether the agent holds all chunks, which shows that the manifest is valid.
     """
 
     manifest: Manifest
-    whole: bool = False
+    complete: bool = False
 
 
-def likeliest(reports: Sequence[Word]) -> Manifest | None:
+def most_reported(reports: Sequence[ManifestReport]) -> Manifest | None:
     """Return the manifest that most agents report; None without reports.
 
     Each manifest may be corrupt since it was read, and the right digest is not known.
     A manifest of which an agent holds all chunks is valid: a corrupt one would list a
     chunk that nobody has. Among equally frequent manifests the earliest report wins.
     """
-    complete = [report for report in reports if report.whole]
+    complete = [report for report in reports if report.complete]
     counts = Counter(report.manifest.digest for report in complete or reports)
     if not counts:
         return None
@@ -163,14 +163,14 @@
     return next(r.manifest for r in reports if r.manifest.digest == digest)
 
 
-def agreed(reports: Sequence[Word]) -> Manifest | None:
+def confirmed_manifest(reports: Sequence[ManifestReport]) -> Manifest | None:
     """Return a manifest that two agents report, or one that holds all its chunks.
 
     None if there is no such manifest. A manifest that only one agent reports may be
     corrupt since it was read; a VM that used it would request a chunk that nobody has.
     """
     for report in reports:
-        if report.whole:
+        if report.complete:
             return report.manifest
     counts = Counter(report.manifest.digest for report in reports)
     return next((r.manifest for r in reports if counts[r.manifest.digest] > 1), None)
--- a/packages/wasabideck_policy/wasabideck_policy/orders.py
+++ b/packages/wasabideck_policy/wasabideck_policy/orders.py
@@ -4,19 +4,19 @@
 
 from attrs import define, field, frozen
 
-from .wants import Wanted
+from .desired_weights import DesiredWeights
 
 __all__ = [
-    "OrderBook",
+    "OrderState",
     "Serving",
-    "gate_open",
-    "matches",
+    "may_serve",
+    "serves_desired",
     "order_due",
-    "ordered_by",
+    "expected_serving",
 ]
 
 # An order whose response was lost takes effect within this time, or not at all.
-SETTLE_SECONDS = 10.0
+LOST_ORDER_SECONDS = 10.0
 
 
 @frozen
@@ -39,7 +39,7 @@
     adapters: dict[str, str] = field(factory=dict)
 
 
-def ordered_by(wanted: Wanted) -> Serving:
+def expected_serving(wanted: DesiredWeights) -> Serving:
     """Return what an engine serves once it has executed a ticket's order."""
     change = wanted.change
     return Serving(
@@ -52,12 +52,12 @@
     )
 
 
-def matches(serving: Serving, wanted: Wanted) -> bool:
+def serves_desired(serving: Serving, wanted: DesiredWeights) -> bool:
     """Whether an engine serves exactly what its tickets declare."""
-    return serving == ordered_by(wanted)
+    return serving == expected_serving(wanted)
 
 
-def gate_open(serving: Serving, wanted: Wanted | None, highest: int) -> bool:
+def may_serve(serving: Serving, wanted: DesiredWeights | None, highest: int) -> bool:
     """Whether requests may be sent to an engine.
 
     They may if the engine serves what the ticket declares and, with the cutover
@@ -75,22 +75,22 @@
     if serving.fence < highest or serving.fence > wanted.ticket:
         return False
     if serving.fence == wanted.ticket:
-        return matches(serving, wanted)
-    return serving.fence > 0 and wanted.keeps(serving.fence)
+        return serves_desired(serving, wanted)
+    return serving.fence > 0 and wanted.may_serve_former(serving.fence)
 
 
-def order_due(serving: Serving, wanted: Wanted) -> bool:
+def order_due(serving: Serving, wanted: DesiredWeights) -> bool:
     """Whether an order has to be sent to an engine.
 
     An engine with a higher fencing token than the ticket's number gets no order: its
     token means that the state of this process is outdated, for example after a start
     with the state of peers that had been paused.
     """
-    return serving.fence <= wanted.ticket and not matches(serving, wanted)
+    return serving.fence <= wanted.ticket and not serves_desired(serving, wanted)
 
 
 @define
-class OrderBook:
+class OrderState:
     """The state of an engine's orders.
 
     At most one order is in flight. If the response to an order was lost, an engine
@@ -102,34 +102,34 @@
     ----------
     checks_fencing : bool
         Whether the engine refuses old fencing tokens, so that orders need no delay.
-    highest : int
+    highest_fence : int
         Highest fencing token that the engine has reported.
     """
 
     checks_fencing: bool = False
-    highest: int = 0
+    highest_fence: int = 0
     _lost: int | None = None
     _settled_at: float = 0.0
 
-    def begin(self, serving: Serving, now: float) -> None:
+    def start(self, serving: Serving, now: float) -> None:
         """Start to control an engine.
 
         An earlier agent may have sent an order whose response was lost.
         """
         if serving.fence and not self.checks_fencing:
-            self._settled_at = now + SETTLE_SECONDS
+            self._settled_at = now + LOST_ORDER_SECONDS
 
-    def lose(self, fence: int, now: float) -> None:
+    def record_lost(self, fence: int, now: float) -> None:
         """Record an order whose response was lost."""
         self._lost = fence
-        self._settled_at = now + SETTLE_SECONDS
+        self._settled_at = now + LOST_ORDER_SECONDS
 
-    def see(self, serving: Serving) -> None:
+    def record_serving(self, serving: Serving) -> None:
         """Record what the engine serves."""
-        self.highest = max(self.highest, serving.fence)
+        self.highest_fence = max(self.highest_fence, serving.fence)
         if self._lost is not None and serving.fence == self._lost:
             self._lost, self._settled_at = None, 0.0
 
-    def settled(self, now: float) -> bool:
+    def may_send(self, now: float) -> bool:
         """Whether the next order may be sent."""
         return self.checks_fencing or now >= self._settled_at
--- a/packages/wasabideck_policy/wasabideck_policy/outliers.py
+++ b/packages/wasabideck_policy/wasabideck_policy/outliers.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-__all__ = ["Outliers"]
+__all__ = ["OutlierEjection"]
 
 FAILURES_PER_EJECTION = 3
 FIRST_EJECTION_SECONDS = 1.0
@@ -24,23 +24,23 @@
 
 
 @define
-class Outliers:
+class OutlierEjection:
     """Consecutive failures by VM, and until when a VM is ejected."""
 
     _records: dict[str, _Record] = field(factory=dict)
 
-    def succeeded(self, vm: str) -> None:
+    def record_success(self, vm: str) -> None:
         """Record a success: the VM is healthy, even if it was ejected."""
         self._records.pop(vm, None)
 
-    def failed(self, vm: str, now: float) -> None:
+    def record_failure(self, vm: str, now: float) -> None:
         """Record a failure; each third in a row ejects the VM, each time for longer."""
         record = self._records.setdefault(vm, _Record())
         record.failures += 1
         if record.failures % FAILURES_PER_EJECTION == 0:
             _eject(record, now)
 
-    def lost(self, vm: str, now: float) -> None:
+    def eject(self, vm: str, now: float) -> None:
         """Eject a VM immediately, because a connection to it could not be opened.
 
         Each request that tries the VM again would wait for the same timeout before it
@@ -52,19 +52,19 @@
         if now >= record.ejected_until:
             _eject(record, now)
 
-    def out(self, vm: str, now: float) -> bool:
+    def is_ejected(self, vm: str, now: float) -> bool:
         """Whether a VM is ejected now."""
         record = self._records.get(vm)
         return record is not None and now < record.ejected_until
 
-    def any_out(self, now: float) -> bool:
+    def any_ejected(self, now: float) -> bool:
         """Whether any VM is ejected now."""
         return any(now < record.ejected_until for record in self._records.values())
 
-    def sound(self, vms: Iterable[str], now: float) -> set[str]:
+    def healthy(self, vms: Iterable[str], now: float) -> set[str]:
         """Return the VMs that may be used: all of them if too many are ejected."""
         known = set(vms)
-        healthy = {vm for vm in known if not self.out(vm, now)}
+        healthy = {vm for vm in known if not self.is_ejected(vm, now)}
         return (
             healthy if len(healthy) >= len(known) * (1 - MAX_EJECTED_RATIO) else known
         )
--- a/packages/wasabideck_policy/wasabideck_policy/quarantine.py
+++ b/packages/wasabideck_policy/wasabideck_policy/quarantine.py
@@ -8,7 +8,7 @@
 
 __all__ = ["Quarantine", "fingerprint"]
 
-MOST_CRASHES = 2
+MAX_CRASHES = 2
 KEEP_SECONDS = 600.0
 
 
@@ -24,16 +24,16 @@
 
     crashes: dict[str, dict[str, float]] = field(factory=dict)
 
-    def record(self, name: str, crash: str, now: float) -> None:
+    def record_crash(self, name: str, crash: str, now: float) -> None:
         """Record that a request was in progress at a crash (``VM/process/count``)."""
         self._extend(name, crash, now + KEEP_SECONDS)
 
-    def take(self, name: str, crash: str, until: float, now: float) -> None:
+    def merge_crash(self, name: str, crash: str, until: float, now: float) -> None:
         """Merge a crash reported by another process, until a wall time."""
         # A sender whose clock is ahead must not quarantine a request for longer.
         self._extend(name, crash, min(until, now + KEEP_SECONDS))
 
-    def recent(self, now: float) -> dict[str, dict[str, float]]:
+    def unexpired_crashes(self, now: float) -> dict[str, dict[str, float]]:
         """Return the crashes that still count, by fingerprint; deletes the others."""
         kept = {
             name: {crash: until for crash, until in crashes.items() if until > now}
@@ -42,22 +42,22 @@
         self.crashes = {name: crashes for name, crashes in kept.items() if crashes}
         return self.crashes
 
-    def servers(self, name: str, now: float) -> set[str]:
+    def crashed_vms(self, name: str, now: float) -> set[str]:
         """Return the VMs that crashed while the request was in progress."""
         crashes = self.crashes.get(name, {})
         return {crash.partition("/")[0] for crash, t in crashes.items() if t > now}
 
-    def count(self, name: str, now: float) -> int:
+    def count_crashes(self, name: str, now: float) -> int:
         """Return the number of the request's crashes that still count."""
         return sum(1 for until in self.crashes.get(name, {}).values() if until > now)
 
-    def refused(self, name: str, now: float) -> bool:
+    def is_quarantined(self, name: str, now: float) -> bool:
         """Whether the request is quarantined: it must be refused, and not retried."""
-        return self.count(name, now) >= MOST_CRASHES
+        return self.count_crashes(name, now) >= MAX_CRASHES
 
-    def alone(self, name: str, now: float) -> bool:
+    def must_run_alone(self, name: str, now: float) -> bool:
         """Whether the request may run only on a server without other requests."""
-        return self.count(name, now) == 1
+        return self.count_crashes(name, now) == 1
 
     def _extend(self, name: str, crash: str, until: float) -> None:
         crashes = self.crashes.setdefault(name, {})
--- a/packages/wasabideck_policy/wasabideck_policy/rendezvous.py
+++ b/packages/wasabideck_policy/wasabideck_policy/rendezvous.py
@@ -6,14 +6,14 @@
 
 import xxhash
 
-__all__ = ["rank", "score"]
+__all__ = ["rank_vms", "scorer"]
 
 
-def score(item: str) -> Callable[[str], int]:
+def scorer(item: str) -> Callable[[str], int]:
     """Return a function from a VM's name to its score; the highest score is first."""
     return lambda vm: xxhash.xxh64_intdigest(f"{item}|{vm}".encode())
 
 
-def rank(item: str, vms: Iterable[str]) -> list[str]:
+def rank_vms(item: str, vms: Iterable[str]) -> list[str]:
     """Return the VMs in rendezvous order for an item."""
-    return sorted(vms, key=score(item), reverse=True)
+    return sorted(vms, key=scorer(item), reverse=True)
--- a/packages/wasabideck_policy/wasabideck_policy/audience.py
+++ b/packages/wasabideck_policy/wasabideck_policy/report_targets.py
@@ -15,9 +15,9 @@
 from attrs import define
 
 from .membership import ENTRY, Member
-from .rendezvous import score
+from .rendezvous import scorer
 
-__all__ = ["Audience", "audience_of"]
+__all__ = ["ReportTargets", "report_targets"]
 
 # Maximum number of entries that one report is sent to, in the agent's own region and
 # in the other regions.
@@ -28,46 +28,46 @@
 
 
 @define
-class Audience:
+class ReportTargets:
     """Entries that one agent reports to, and which of them are next.
 
     Attributes
     ----------
-    near, far : sequence of str
+    local, remote : sequence of str
         Addresses of all entries of the agent's own region, and of the entries of other
         regions that the agent reports to.
     """
 
-    near: Sequence[str] = ()
-    far: Sequence[str] = ()
+    local: Sequence[str] = ()
+    remote: Sequence[str] = ()
     _next_index: int = 0
 
-    def take(self, near: Sequence[str], far: Sequence[str]) -> None:
+    def set_entries(self, near: Sequence[str], far: Sequence[str]) -> None:
         """Set the entries to report to."""
-        self.near, self.far = near, far
+        self.local, self.remote = near, far
 
-    def for_word(self, with_far: bool) -> list[str]:
+    def for_report(self, with_far: bool) -> list[str]:
         """Return the entries that receive the next regular report."""
         targets = self._next_local(MAX_LOCAL_ENTRIES)
-        return [*targets, *self.far] if with_far else targets
+        return [*targets, *self.remote] if with_far else targets
 
-    def for_change(self) -> list[str]:
+    def for_urgent_report(self) -> list[str]:
         """Return the entries that receive a major change at once."""
-        return [*self._next_local(MAX_URGENT_ENTRIES), *self.far]
+        return [*self._next_local(MAX_URGENT_ENTRIES), *self.remote]
 
     def _next_local(self, limit: int) -> list[str]:
-        if len(self.near) <= limit:
-            return list(self.near)
-        first = self._next_index % len(self.near)
+        if len(self.local) <= limit:
+            return list(self.local)
+        first = self._next_index % len(self.local)
         self._next_index = first + limit
-        return [*self.near[first:], *self.near[:first]][:limit]
+        return [*self.local[first:], *self.local[:first]][:limit]
 
 
-def audience_of(
+def report_targets(
     vm: str, region: str, members: Iterable[Member]
 ) -> tuple[list[str], list[str]]:
     """Return addresses of a region's entries, and of the remote ones to report to."""
     entries = [member for member in members if member.kind == ENTRY]
     near = sorted(m.address for m in entries if m.region == region)
     far = (m.address for m in entries if m.region != region)
-    return near, heapq.nlargest(MAX_REMOTE_ENTRIES, far, key=score(vm))
+    return near, heapq.nlargest(MAX_REMOTE_ENTRIES, far, key=scorer(vm))
--- a/packages/wasabideck_policy/wasabideck_policy/retry.py
+++ b/packages/wasabideck_policy/wasabideck_policy/retry_budget.py
@@ -7,7 +7,7 @@
 from .admission import SHARE_USED
 from .outcomes import NotRun, Outcome, Unknown
 
-__all__ = ["RetryBudget", "costs_nothing", "may_retry"]
+__all__ = ["RetryBudget", "is_free_retry", "may_retry"]
 
 # Refusals that another server would repeat, or that the caller itself caused.
 _NOT_RETRIED = frozenset(
@@ -66,6 +66,6 @@
     return isinstance(outcome, Unknown) and repeatable
 
 
-def costs_nothing(outcome: Outcome) -> bool:
+def is_free_retry(outcome: Outcome) -> bool:
     """Whether a retry after this outcome is not charged to the budget."""
     return isinstance(outcome, NotRun) and outcome.failure.kind in _FREE_RETRY
--- a/packages/wasabideck_policy/wasabideck_policy/retry_share.py
+++ b/packages/wasabideck_policy/wasabideck_policy/retry_limit.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-__all__ = ["RetryShare"]
+__all__ = ["RetryLimit"]
 
 BUCKET_SECONDS = 0.5
 # Fraction of the deployment's allowance that is used. The margin covers that entries
@@ -16,7 +16,7 @@
 
 
 @define
-class RetryShare:
+class RetryLimit:
     """Count of one service's requests and retries in a sliding window.
 
     Every entry spends at most what its own requests earned, and its part of the fixed
@@ -27,44 +27,44 @@
     ----------
     ratio : float
         Number of retries that one request earns.
-    slack : float
+    shared_allowance : float
         Additional retries that all entries together may make in a window.
-    window : float
+    window_seconds : float
         Length of the window, seconds.
     """
 
     ratio: float
-    slack: float
-    window: float
+    shared_allowance: float
+    window_seconds: float
     _buckets: deque[list[float]] = field(factory=deque)
     _requests: int = 0
-    _repeats: int = 0
+    _retries: int = 0
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a caller's request."""
         self._bucket(now)[1] += 1
         self._requests += 1
 
-    def may_repeat(self, now: float, entries: int) -> bool:
+    def try_spend(self, now: float, entries: int) -> bool:
         """Whether one more retry is within the limit; counts it if so."""
         bucket = self._bucket(now)
-        if not self.has_room(now, entries):
+        if not self.allows_retry(now, entries):
             return False
         bucket[2] += 1
-        self._repeats += 1
+        self._retries += 1
         return True
 
-    def has_room(self, now: float, entries: int) -> bool:
+    def allows_retry(self, now: float, entries: int) -> bool:
         """Whether one more retry would be within the limit."""
         self._bucket(now)
-        allowed = self.ratio * self._requests + self.slack / max(entries, 1)
-        return self._repeats + 1 <= USED_ALLOWANCE_RATIO * allowed
+        allowed = self.ratio * self._requests + self.shared_allowance / max(entries, 1)
+        return self._retries + 1 <= USED_ALLOWANCE_RATIO * allowed
 
     def _bucket(self, now: float) -> list[float]:
-        while self._buckets and self._buckets[0][0] < now - self.window:
+        while self._buckets and self._buckets[0][0] < now - self.window_seconds:
             _, requests, retries = self._buckets.popleft()
             self._requests -= requests
-            self._repeats -= retries
+            self._retries -= retries
         if not self._buckets or now - self._buckets[-1][0] >= BUCKET_SECONDS:
             self._buckets.append([now, 0, 0])
         return self._buckets[-1]
--- a/packages/wasabideck_policy/wasabideck_policy/waves.py
+++ b/packages/wasabideck_policy/wasabideck_policy/rollout_waves.py
@@ -9,9 +9,9 @@
 
 from collections.abc import Collection
 
-from .rendezvous import rank
+from .rendezvous import rank_vms
 
-__all__ = ["DRAIN_SECONDS", "wave_delay"]
+__all__ = ["DRAIN_SECONDS", "rollout_delay"]
 
 # Time for which a stopping server continues its running requests. Streams that last
 # longer continue at other servers: waiting for the longest one would keep all other
@@ -22,7 +22,7 @@
 MAX_WAVES = 4
 
 
-def wave_delay(
+def rollout_delay(
     vm: str, version: int, vms: Collection[str], load_seconds: float, spare: float
 ) -> float:
     """Return the seconds that a server waits before it stops to load a version.
@@ -41,5 +41,5 @@
     wave_seconds = DRAIN_SECONDS + load_seconds + REPORT_DELAY_SECONDS
     waves = 1 + int(max(0.0, spare) / wave_seconds)
     waves = min(waves, MAX_WAVES, max(len(vms), 1))
-    position = rank(str(version), vms).index(vm)
+    position = rank_vms(str(version), vms).index(vm)
     return wave_seconds * (position * waves // len(vms))
--- a/packages/wasabideck_policy/wasabideck_policy/start_turns.py
+++ b/packages/wasabideck_policy/wasabideck_policy/startup_stagger.py
@@ -10,14 +10,14 @@
 
 from collections.abc import Iterable
 
-from .rendezvous import rank
+from .rendezvous import rank_vms
 
 __all__ = ["read_delay"]
 
 # Interval between the reads of waiting processes: 400 KB take 0.2 s on a link of
 # 15 Mbit/s.
-APART_SECONDS = 0.3
-LONGEST_SECONDS = 10.0
+READ_INTERVAL_SECONDS = 0.3
+MAX_READ_DELAY_SECONDS = 10.0
 
 
 def read_delay(
@@ -36,9 +36,9 @@
     first_delay : float
         Delay in seconds of the first process that does not read at once.
     """
-    position = rank(item, {*near, vm}).index(vm) - at_once
+    position = rank_vms(item, {*near, vm}).index(vm) - at_once
     return (
-        min(LONGEST_SECONDS, first_delay + position * APART_SECONDS)
+        min(MAX_READ_DELAY_SECONDS, first_delay + position * READ_INTERVAL_SECONDS)
         if position >= 0
         else 0.0
     )
--- a/packages/wasabideck_policy/wasabideck_policy/subsets.py
+++ b/packages/wasabideck_policy/wasabideck_policy/subsets.py
@@ -8,7 +8,7 @@
 import xxhash
 from attrs import frozen
 
-__all__ = ["OTHER_REGION", "OWN_REGION", "SubsetSize", "poll_pause", "subset"]
+__all__ = ["OTHER_REGION", "OWN_REGION", "SubsetSize", "poll_interval", "subset"]
 
 
 @frozen
@@ -58,7 +58,7 @@
     return {ring[(start + i) % len(ring)] for i in range(size)}
 
 
-def poll_pause(servers: int) -> float:
+def poll_interval(servers: int) -> float:
     """Return the interval between two polls of one of this many servers, seconds."""
     return max(MIN_POLL_INTERVAL_SECONDS, servers / POLLS_PER_SECOND)
 
--- a/packages/wasabideck_policy/wasabideck_policy/superseding.py
+++ b/packages/wasabideck_policy/wasabideck_policy/superseded_transfer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["OVERHEAD", "finishes_older"]
+__all__ = ["TRANSFER_OVERHEAD_RATIO", "finish_older_first"]
 
 # If no more than this fraction of the older version is missing, finishing it costs
 # next to nothing.
@@ -10,10 +10,10 @@
 # Duration of a transfer relative to what its chunks need on an idle link. It includes
 # headers, live streams on the same link, and waiting for chunks that others still
 # lack: 15 VMs in 3 regions take 6.6 to 8.0 s for chunks that need 5.2 s.
-OVERHEAD = 1.35
+TRANSFER_OVERHEAD_RATIO = 1.35
 
 
-def finishes_older(
+def finish_older_first(
     missing_ratio: float,
     declared_interval: float,
     transfer_seconds: float,
@@ -39,7 +39,7 @@
     """
     if missing_ratio <= ALMOST_COMPLETE_RATIO:
         return True
-    takes = transfer_seconds * OVERHEAD
+    takes = transfer_seconds * TRANSFER_OVERHEAD_RATIO
     without_if_dropped = max(0.0, declared_interval + takes - allowed_seconds)
     without_if_finished = max(
         0.0, takes + takes - (declared_interval + allowed_seconds)
--- a/packages/wasabideck_policy/wasabideck_policy/tickets.py
+++ b/packages/wasabideck_policy/wasabideck_policy/tickets.py
@@ -28,8 +28,8 @@
     "TicketSuperseded",
     "change_from_json",
     "change_to_json",
-    "desired",
-    "digest_of",
+    "desired_assignment",
+    "ticket_digest",
     "parse_ticket",
 ]
 
@@ -164,7 +164,7 @@
     return Change(**json.loads(data))
 
 
-def digest_of(ticket: Ticket) -> str:
+def ticket_digest(ticket: Ticket) -> str:
     """Return the digest of a ticket's content, without its submitter and time."""
     content = {
         "number": ticket.number,
@@ -291,7 +291,7 @@
         scopes = sorted(self._scopes.items())
         return [slots[slot] for _, slots in scopes for slot in sorted(slots)]
 
-    def above(self, sequence: int) -> list[Assignment]:
+    def accepted_after(self, sequence: int) -> list[Assignment]:
         """Return the newest changes that were accepted after a sequence."""
         start = bisect_right(self._sequence_index, sequence, key=lambda row: row[0])
         found = {key: self.newest(key) for _, key in self._sequence_index[start:]}
@@ -352,7 +352,9 @@
     return xxhash.xxh3_128_intdigest(row.encode())
 
 
-def desired(state: TicketState, service: str, vm: str, slot: str) -> Assignment | None:
+def desired_assignment(
+    state: TicketState, service: str, vm: str, slot: str
+) -> Assignment | None:
     """Return what a VM's slot is to hold.
 
     This is the newer of the change of its service and the change of the VM itself.
