--- a/packages/wasabideck_policy/wasabideck_policy/views.py
+++ b/packages/wasabideck_policy/wasabideck_policy/transfer_view.py
@@ -15,26 +15,26 @@
 from attrs import define, field, frozen
 
 from .membership import Member
-from .rendezvous import rank, score
+from .rendezvous import rank_vms, scorer
 
 __all__ = [
     "ORIGIN",
     "FetchRanking",
     "Fetch",
-    "Limits",
+    "FetchLimits",
     "Peer",
-    "View",
-    "begin",
+    "TransferView",
+    "record_fetch_start",
     "bits",
-    "end",
+    "record_fetch_end",
     "gateways",
-    "got",
-    "got_corrupt",
-    "hear",
-    "lose",
-    "origin_failed",
+    "record_chunk",
+    "record_corrupt_chunk",
+    "record_holdings",
+    "record_peer_failure",
+    "record_origin_failure",
     "pick_bit",
-    "refused",
+    "record_refusal",
     "set_members",
 ]
 
@@ -58,34 +58,34 @@
 
 
 @frozen
-class Limits:
+class FetchLimits:
     """Maximum concurrent fetches of a VM, and how long it waits for others.
 
     Attributes
     ----------
-    near, far, reads : int
+    region_fetches, cross_region_fetches, origin_reads : int
         Maximum concurrent fetches within the region, over the region's link, and
         from the origin.
-    a_peer : int
+    fetches_per_peer : int
         Maximum concurrent fetches from one peer.
-    spare : int
+    spare_reads : int
         Number of chunks that this VM may read from the origin although others hold
         them. The origin's link is idle once it has sent its copy, while the links of
         the VMs are saturated.
-    slot : float
+    slot_seconds : float
         Seconds that one chunk takes on the VM's link.
-    patience : float
+    stall_seconds : float
         Seconds without progress after which the second VM in rank fetches a chunk
         instead of the first; the delay doubles with each further rank.
     """
 
-    near: int = 3
-    far: int = 2
-    reads: int = 1
-    a_peer: int = 1
-    spare: int = 0
-    slot: float = 0.05
-    patience: float = 2.0
+    region_fetches: int = 3
+    cross_region_fetches: int = 2
+    origin_reads: int = 1
+    fetches_per_peer: int = 1
+    spare_reads: int = 0
+    slot_seconds: float = 0.05
+    stall_seconds: float = 2.0
 
 
 @define
@@ -146,7 +146,7 @@
     ----------
     source : str
         The peer's VM; empty for the origin.
-    far : bool
+    cross_region : bool
         Whether the chunk is transferred over the link into the region.
     spare : bool
         Whether the chunk is read from the origin although others hold it.
@@ -154,12 +154,12 @@
 
     index: int
     source: str = ORIGIN
-    far: bool = False
+    cross_region: bool = False
     spare: bool = False
 
 
 @define
-class View:
+class TransferView:
     """What one VM knows of one transfer.
 
     Attributes
@@ -170,29 +170,29 @@
         The peers that are known to hold at least one chunk.
     held, active : int
         Chunks held here, and chunks being fetched.
-    seen, available_in_region : int
+    available, available_in_region : int
         Chunks that some live peer holds, anywhere and in this region.
     progress_at : float
         When a chunk last became newly available here or at a peer.
-    fed_at : float
+    last_received_at : float
         When this VM last received a chunk.
     """
 
     vm: str
     digests: Sequence[str]
-    begun: float
+    started_at: float
     region: str = ""
     data_centre: str = ""
     origin_region: str = ""
-    limits: Limits = Limits()
+    limits: FetchLimits = FetchLimits()
     peers: dict[str, Peer] = field(factory=dict)
     holders: dict[str, Peer] = field(factory=dict)
     held: int = 0
     active: int = 0
-    seen: int = 0
+    available: int = 0
     available_in_region: int = 0
     progress_at: float = 0.0
-    fed_at: float = 0.0
+    last_received_at: float = 0.0
     origin_busy_until: float = 0.0
     sources: Counter = field(factory=Counter)
     cross_region_active: int = 0
@@ -218,10 +218,10 @@
 
 def gateways(item: str, region: str, vms: Sequence[str]) -> list[str]:
     """Return the few agents of a region that fetch an item's chunks over its link."""
-    return heapq.nlargest(GATEWAYS_PER_REGION, vms, key=score(f"{item}/{region}"))
+    return heapq.nlargest(GATEWAYS_PER_REGION, vms, key=scorer(f"{item}/{region}"))
 
 
-def set_members(view: View, item: str, members: Iterable[Member]) -> None:
+def set_members(view: TransferView, item: str, members: Iterable[Member]) -> None:
     """Set the participants; each item, such as a manifest, has its own ranking."""
     members = [m for m in members if m.vm != view.vm]
     for member in members:
@@ -242,8 +242,8 @@
     view.region_fetchers = _ranking(view.vm, [rotations[i % len(pool)] for i in chunks])
 
 
-def hear(
-    view: View,
+def record_holdings(
+    view: TransferView,
     vm: str,
     held: int,
     now: float,
@@ -271,8 +271,8 @@
     if dropped:
         view.holders = {vm: p for vm, p in view.holders.items() if p.held}
         _recompute_available(view)
-    new = peer.held & ~view.seen
-    view.seen |= peer.held
+    new = peer.held & ~view.available
+    view.available |= peer.held
     if peer.region == view.region:
         new |= peer.held & ~view.available_in_region
         view.available_in_region |= peer.held
@@ -280,7 +280,7 @@
         view.progress_at = now
 
 
-def lose(view: View, vm: str, now: float) -> None:
+def record_peer_failure(view: TransferView, vm: str, now: float) -> None:
     """Record a failed call to a peer: chunks that only it held become unavailable."""
     peer = view.peers.get(vm)
     if peer is None:
@@ -291,46 +291,50 @@
     _recompute_available(view)
 
 
-def begin(view: View, fetch: Fetch) -> None:
+def record_fetch_start(view: TransferView, fetch: Fetch) -> None:
     """Record the start of a fetch."""
     view.active |= 1 << fetch.index
     view.sources[fetch.source] += 1
-    view.cross_region_active += fetch.far and fetch.source != ORIGIN
+    view.cross_region_active += fetch.cross_region and fetch.source != ORIGIN
     view.spare_reads += fetch.spare
 
 
-def end(view: View, fetch: Fetch) -> None:
+def record_fetch_end(view: TransferView, fetch: Fetch) -> None:
     """Record the end of a fetch, whatever its result."""
     view.active &= ~(1 << fetch.index)
     view.sources[fetch.source] -= 1
-    view.cross_region_active -= fetch.far and fetch.source != ORIGIN
+    view.cross_region_active -= fetch.cross_region and fetch.source != ORIGIN
 
 
-def got(view: View, fetch: Fetch, now: float) -> None:
+def record_chunk(view: TransferView, fetch: Fetch, now: float) -> None:
     """Record that a fetch has received its chunk, verified."""
     view.held |= 1 << fetch.index
-    view.fed_at = view.progress_at = now
+    view.last_received_at = view.progress_at = now
     if peer := view.peers.get(fetch.source):
         peer.strikes = max(0, peer.strikes - 1)
 
 
-def got_corrupt(view: View, fetch: Fetch, now: float) -> None:
+def record_corrupt_chunk(view: TransferView, fetch: Fetch, now: float) -> None:
     """Record a corrupt chunk: its sender is not used for an exponential backoff."""
     peer = view.peers.get(fetch.source)
     if peer is None:
         view.origin_busy_until = now + ORIGIN_CORRUPT_BACKOFF_SECONDS
         return
     peer.strikes = min(peer.strikes + 1, MAX_STRIKES)
-    peer.busy_until = now + CORRUPT_BACKOFF_SLOTS * view.limits.slot * 2**peer.strikes
+    peer.busy_until = (
+        now + CORRUPT_BACKOFF_SLOTS * view.limits.slot_seconds * 2**peer.strikes
+    )
 
 
-def refused(view: View, fetch: Fetch, now: float, rng: random.Random) -> None:
+def record_refusal(
+    view: TransferView, fetch: Fetch, now: float, rng: random.Random
+) -> None:
     """Record that the sender has no free upload: it is retried after about a slot."""
     if peer := view.peers.get(fetch.source):
-        peer.busy_until = now + view.limits.slot * rng.uniform(0.5, 1.5)
+        peer.busy_until = now + view.limits.slot_seconds * rng.uniform(0.5, 1.5)
 
 
-def origin_failed(view: View, now: float) -> None:
+def record_origin_failure(view: TransferView, now: float) -> None:
     """Record that the origin did not respond: it is not read for a backoff."""
     view.origin_busy_until = now + ORIGIN_BACKOFF_SECONDS
 
@@ -350,23 +354,23 @@
     return (mask & -mask).bit_length() - 1
 
 
-def _recompute_available(view: View) -> None:
-    view.seen = view.available_in_region = 0
+def _recompute_available(view: TransferView) -> None:
+    view.available = view.available_in_region = 0
     for peer in view.holders.values():
-        view.seen |= peer.held
+        view.available |= peer.held
         if peer.region == view.region:
             view.available_in_region |= peer.held
 
 
-def _rank_owners(view: View, item: str, staying: set[str]) -> None:
+def _rank_owners(view: TransferView, item: str, staying: set[str]) -> None:
     """Rank the VMs that may read from the origin.
 
     Only VMs in the origin's region may, if there are any.
     """
     region = {vm: view.peers[vm].region for vm in staying} | {view.vm: view.region}
     in_origin_region = [vm for vm in region if region[vm] == view.origin_region]
-    pool = heapq.nlargest(MAX_OWNERS, in_origin_region or region, key=score(item))
-    view.owners = _ranking(view.vm, [rank(digest, pool) for digest in view.digests])
+    pool = heapq.nlargest(MAX_OWNERS, in_origin_region or region, key=scorer(item))
+    view.owners = _ranking(view.vm, [rank_vms(digest, pool) for digest in view.digests])
 
 
 def _ranking(vm: str, ranks: Sequence[Sequence[str]]) -> FetchRanking:
--- a/packages/wasabideck_policy/wasabideck_policy/observation.py
+++ b/packages/wasabideck_policy/wasabideck_policy/vm_state.py
@@ -8,7 +8,7 @@
 
 from .membership import Member
 
-__all__ = ["Observed", "join"]
+__all__ = ["VMState", "merge_list"]
 
 # How long a VM that the list lacks is kept after its last response. Lists are delayed,
 # and after an outage a list may be incomplete for a while.
@@ -16,7 +16,7 @@
 
 
 @define
-class Observed:
+class VMState:
     """State of one VM, from the list and from its own responses.
 
     Attributes
@@ -27,29 +27,29 @@
     reported_leaving : bool
         Whether the VM itself reported that it is shutting down. A shutdown is never
         revoked, so this stays true however long the list reports the VM as live.
-    heard_at : float
+    last_response_at : float
         When it last responded, seconds; 0 if it never did.
     """
 
     member: Member
     listed_leaving: bool = False
     reported_leaving: bool = False
-    heard_at: float = 0.0
+    last_response_at: float = 0.0
 
     @property
     def leaving(self) -> bool:
         """Whether it must not get any new work."""
         return self.listed_leaving or self.reported_leaving
 
-    def answered(self, leaving: bool, now: float) -> None:
+    def record_response(self, leaving: bool, now: float) -> None:
         """Record a response of the VM itself."""
         self.reported_leaving = self.reported_leaving or leaving
-        self.heard_at = now
+        self.last_response_at = now
 
 
-def join(
-    known: dict[str, Observed], listed: Iterable[Member], now: float
-) -> dict[str, Observed]:
+def merge_list(
+    known: dict[str, VMState], listed: Iterable[Member], now: float
+) -> dict[str, VMState]:
     """Return the known VMs, updated with a new list."""
     joined = {}
     for member in listed:
@@ -57,12 +57,15 @@
         # Another address means another process under the same name: the reports of the
         # former process don't apply to it.
         same = old is not None and old.member.address == member.address
-        observed = old if same else Observed(member)
+        observed = old if same else VMState(member)
         observed.member = member
         observed.listed_leaving = member.leaving
         joined[member.vm] = observed
     for vm, observed in known.items():
-        recent = now - observed.heard_at <= KEEP_SECONDS and observed.heard_at > 0
+        recent = (
+            now - observed.last_response_at <= KEEP_SECONDS
+            and observed.last_response_at > 0
+        )
         if vm not in joined and recent and not observed.leaving:
             joined[vm] = observed
     return joined
--- a/packages/wasabideck_wire/wasabideck_wire/convert.py
+++ b/packages/wasabideck_wire/wasabideck_wire/convert.py
@@ -15,17 +15,17 @@
 from wasabideck_policy.tickets import Assignment, change_from_json, change_to_json
 
 from . import inner_pb2 as pb
-from .malformed import MalformedMessage
+from .errors import MalformedMessage
 
 __all__ = [
-    "assignments_from",
-    "entries_from",
-    "final_from",
-    "outcome_from",
+    "assignments_from_entries",
+    "assignments_to_entries",
+    "outcome_to_final",
+    "outcome_from_final",
 ]
 
 
-def entries_from(assignments: Iterable[Assignment]) -> list[pb.Entry]:
+def assignments_to_entries(assignments: Iterable[Assignment]) -> list[pb.Entry]:
     """Return the messages for assignments of tickets."""
     return [
         pb.Entry(
@@ -39,7 +39,7 @@
     ]
 
 
-def assignments_from(entries: Iterable[pb.Entry]) -> list[Assignment]:
+def assignments_from_entries(entries: Iterable[pb.Entry]) -> list[Assignment]:
     """Return the assignments of tickets in messages; raises ``MalformedMessage``."""
     return [_parse_assignment(entry) for entry in entries]
 
@@ -56,7 +56,7 @@
     return Assignment(entry.ticket, change, entry.sequence)
 
 
-def final_from(outcome: Outcome) -> pb.Final:
+def outcome_to_final(outcome: Outcome) -> pb.Final:
     """Return the message for a request's outcome."""
     if isinstance(outcome, Answered):
         return pb.Final(outcome=pb.Final.ANSWERED, replayed=outcome.replayed)
@@ -71,7 +71,7 @@
     )
 
 
-def outcome_from(final: pb.Final) -> Outcome:
+def outcome_from_final(final: pb.Final) -> Outcome:
     """Return the outcome of a request in a message."""
     if final.outcome == pb.Final.ANSWERED:
         return Answered(final.replayed)
--- a/packages/wasabideck_wire/wasabideck_wire/crashes.py
+++ b/packages/wasabideck_wire/wasabideck_wire/crashes.py
@@ -8,10 +8,10 @@
 
 from . import inner_pb2 as pb
 
-__all__ = ["crashes_from", "crashes_to"]
+__all__ = ["merge_crashes", "crashes_to_messages"]
 
 
-def crashes_to(quarantine: Quarantine, now: float) -> list[pb.Quarantined]:
+def crashes_to_messages(quarantine: Quarantine, now: float) -> list[pb.Quarantined]:
     """Return the messages for the crashes of a quarantine that have not expired."""
     return [
         pb.Quarantined(
@@ -19,14 +19,14 @@
             crashes=sorted(crashes),
             until=max(crashes.values()),
         )
-        for fingerprint, crashes in quarantine.recent(now).items()
+        for fingerprint, crashes in quarantine.unexpired_crashes(now).items()
     ]
 
 
-def crashes_from(
+def merge_crashes(
     quarantine: Quarantine, messages: Iterable[pb.Quarantined], now: float
 ) -> None:
     """Merge crashes that other processes reported into a quarantine."""
     for message in messages:
         for crash in message.crashes:
-            quarantine.take(message.fingerprint, crash, message.until, now)
+            quarantine.merge_crash(message.fingerprint, crash, message.until, now)
--- a/tests/adapter/agent_fakes.py
+++ b/tests/adapter/agent_fakes.py
@@ -8,27 +8,27 @@
 
 from wasabideck_agent.chunk_store import ChunkStore
 from wasabideck_agent.chunks_service import ChunksService
-from wasabideck_agent.deliveries_log import DeliveriesLog
-from wasabideck_agent.delivery_book import DeliveryBook
+from wasabideck_agent.delivery_log import DeliveryLog
+from wasabideck_agent.delivery_tracker import DeliveryTracker
+from wasabideck_agent.engine_agent import EngineAgent
 from wasabideck_agent.links import Link, Links
 from wasabideck_agent.listed_peers import ListedPeers
-from wasabideck_agent.node_agent import EngineAgent
 from wasabideck_agent.peer_calls import grpc_calls
 from wasabideck_agent.staging import Staging
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.http_answers import PlatformUnavailable
-from wasabideck_base.node import NodeSettings, StoreSettings
-from wasabideck_base.rows import Changes, Row, WriteConflict
-from wasabideck_policy.backends import Listed, Loaded
-from wasabideck_policy.beliefs import Beliefs
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.http_responses import PlatformUnavailable
+from wasabideck_base.rows import Row, RowChanges, WriteConflict
+from wasabideck_base.vm_settings import StoreSettings, VMSettings
+from wasabideck_policy.backends import ListedServer, LoadedLayers
+from wasabideck_policy.cluster_state import ClusterState
 from wasabideck_policy.configuration import (
     Configuration,
     EngineModel,
-    OriginPlace,
+    OriginServer,
     Service,
 )
-from wasabideck_policy.engine_state import EngineState, OrderAnswer
+from wasabideck_policy.engine_state import EngineState, OrderResponse
 from wasabideck_policy.manifests import Manifest
 
 CHUNKS = 8
@@ -87,14 +87,14 @@
                     chunks.get(i) == chunk_bytes(version, i) for i in range(CHUNKS)
                 )
                 assert good, "loaded a chunk that was missing, corrupt or of another"
-                self.loaded, self.loading = (Loaded("m", version, 0, 4),), None
+                self.loaded, self.loading = (LoadedLayers("m", version, 0, 4),), None
         return EngineState(
             self.loaded,
             self.loading is not None,
-            orders=len(self.orders),
+            accepted_orders=len(self.orders),
             running=self.running,
             waiting=self.waiting,
-            born=self.born,
+            started_at_ms=self.born,
         )
 
     async def stage(self, model, index, data):
@@ -103,25 +103,25 @@
     async def staged(self, model):
         return sorted(self.chunks)
 
-    async def staged_piece(self, model, index):
+    async def staged_chunk(self, model, index):
         self.chunk_reads += 1
         return self.chunks.get(index)
 
     async def load(self, model, version, queue, accepted):
         self.load_calls.append(version)
         if self.loading or accepted != len(self.orders):
-            return OrderAnswer.REFUSED
+            return OrderResponse.REFUSED
         self.orders.append(version)
         self.loading, self.polls_left = (version, dict(self.chunks)), 3
-        return OrderAnswer.BEGUN
+        return OrderResponse.STARTED
 
     async def unload(self, model, version, accepted):
         if self.loading or accepted != len(self.orders):
-            return OrderAnswer.REFUSED
+            return OrderResponse.REFUSED
         self.orders.append(-version)
         self.loaded = ()
         self.refused, self.waiting = self.refused + self.waiting, 0
-        return OrderAnswer.BEGUN
+        return OrderResponse.STARTED
 
     def start_waiting(self):
         """Start the waiting requests on the weights that are loaded."""
@@ -135,7 +135,7 @@
         self.rows, self.listed = {}, []
 
     async def read(self, table):
-        return Changes(tuple(Row(table, ip, b"", 1) for ip in self.listed), 1)
+        return RowChanges(tuple(Row(table, ip, b"", 1) for ip in self.listed), 1)
 
     async def write(self, writes, expected=()):
         if any(row.version == 0 and row.key in self.rows for row in expected):
@@ -144,25 +144,25 @@
 
 
 def new_agent(engine, origin, rows):
-    cfg = NodeSettings("vm", "127.0.0.1", "dc", "r", 0, StoreSettings(""), service="s")
+    cfg = VMSettings("vm", "127.0.0.1", "dc", "r", 0, StoreSettings(""), service="s")
     clock = [0.0]
-    events = Events("vm", Clock(), lambda: 0.0)
-    beliefs = Beliefs(0.0)
-    beliefs.configuration = Configuration(
+    events = Events("vm", HybridClock(), lambda: 0.0)
+    cluster_state = ClusterState(0.0)
+    cluster_state.configuration = Configuration(
         1,
         {},
         {
             "s": Service("s", engine=MODEL),
-            "o": Service("o", origin=OriginPlace("o:1", "dc", 1.0)),
+            "o": Service("o", origin=OriginServer("o:1", "dc", 1.0)),
         },
     )
 
     async def read_members():
         return None
 
-    believer = SimpleNamespace(
-        beliefs=beliefs,
-        hearsay=SimpleNamespace(members={}),
+    state_sync = SimpleNamespace(
+        cluster_state=cluster_state,
+        gossip=SimpleNamespace(members={}),
         read_members=read_members,
         store=rows,
     )
@@ -170,8 +170,8 @@
         cfg=cfg,
         events=events,
         session=None,
-        channels=Channels(Clock()),
-        believer=believer,
+        channels=Channels(HybridClock()),
+        state_sync=state_sync,
         clock=lambda: clock[0],
         rng=random.Random(1),
     )
@@ -180,7 +180,9 @@
     deployment = SimpleNamespace(
         open_origin=lambda session, address: origin,
         servers="servers",
-        listed_of=lambda row: Listed(row.key, "s", f"{row.key}:1", "dc"),
+        parse_listed_server=lambda row: ListedServer(
+            row.key, "s", f"{row.key}:1", "dc"
+        ),
     )
     made = EngineAgent(
         process,
@@ -190,7 +192,7 @@
         ChunksService(store, links, 3),
         links,
         Staging(engine, store, events),
-        DeliveryBook("vm", "s", DeliveriesLog(rows), events),
+        DeliveryTracker("vm", "s", DeliveryLog(rows), events),
         ListedPeers(process, deployment),
         None,
         grpc_calls(process.channels),
@@ -228,4 +230,4 @@
 
 
 def holds(engine, version):
-    return lambda: engine.loaded == (Loaded("m", version, 0, 4),)
+    return lambda: engine.loaded == (LoadedLayers("m", version, 0, 4),)
--- a/tests/adapter/test_agent.py
+++ b/tests/adapter/test_agent.py
@@ -14,12 +14,12 @@
     step_until,
     step_until_through_outages,
 )
+from wasabideck_agent.engine_agent import SWAP_MARGIN_SECONDS
+from wasabideck_agent.engine_reporter import EngineReporter
 from wasabideck_agent.listed_peers import ListedPeers
-from wasabideck_agent.news_loop import NewsLoop
-from wasabideck_agent.node_agent import SWAP_MARGIN_SECONDS
-from wasabideck_base.http_answers import PlatformUnavailable
-from wasabideck_policy.backends import Loaded
-from wasabideck_policy.engine_state import EngineState, OrderAnswer
+from wasabideck_base.http_responses import PlatformUnavailable
+from wasabideck_policy.backends import LoadedLayers
+from wasabideck_policy.engine_state import EngineState, OrderResponse
 from wasabideck_policy.membership import AGENT, Member
 
 
@@ -31,7 +31,7 @@
 
 def test_a_declared_version_replaces_the_one_in_effect(agent, engine):
     step_until(agent, holds(engine, 1))
-    agent.process.believer.beliefs.name_version("m", 2, 0.0)
+    agent.process.state_sync.cluster_state.declare_version("m", 2, 0.0)
     step_until(agent, holds(engine, 2))
     assert engine.orders == engine.load_calls == [1, 2]
 
@@ -90,7 +90,7 @@
 
 
 def test_weights_loaded_before_the_agent_started_are_reported(make_agent, engine, rows):
-    engine.loaded = (Loaded("m", 1, 0, 4),)
+    engine.loaded = (LoadedLayers("m", 1, 0, 4),)
     step_until(make_agent(), lambda: rows.rows)
     assert list(rows.rows) == [f"{1:020d}/s/vm/model"]
 
@@ -99,12 +99,16 @@
     # Version 3 is declared while version 2 is being loaded. Without a row for version 2
     # the report would show that nobody served it.
     step_until(agent, holds(engine, 1))
-    beliefs = agent.process.believer.beliefs
-    beliefs.name_version("m", 2, 0.0)
+    cluster_state = agent.process.state_sync.cluster_state
+    cluster_state.declare_version("m", 2, 0.0)
     step_until(agent, lambda: engine.loading is not None)
-    beliefs.name_version("m", 3, 0.0)
+    cluster_state.declare_version("m", 3, 0.0)
     # An engine report is sent while the main loop waits for the origin.
-    agent.describe(EngineState((Loaded("m", 2, 0, 4),), busy=False, born=1))
+    agent.describe(
+        EngineState(
+            (LoadedLayers("m", 2, 0, 4),), order_in_progress=False, started_at_ms=1
+        )
+    )
     step_until(agent, lambda: any(key.startswith(f"{3:020d}") for key in rows.rows))
     assert any(key.startswith(f"{2:020d}") for key in rows.rows)
     assert engine.orders[-1] == 3
@@ -116,12 +120,14 @@
     step_until(agent, holds(engine, 1))
     reported = []
     agent.send_report = lambda state: reported.append(agent.describe(state)[:2])
-    agent.process.believer.beliefs.name_version("m", 2, 0.0)
+    agent.process.state_sync.cluster_state.declare_version("m", 2, 0.0)
     step_until(agent, lambda: engine.loading is not None)
     assert reported == [(1, False), (2, False)]
-    busy = EngineState((Loaded("m", 1, 0, 4),), busy=True, born=1)
+    busy = EngineState(
+        (LoadedLayers("m", 1, 0, 4),), order_in_progress=True, started_at_ms=1
+    )
     assert agent.describe(busy)[:2] == (2, False)
-    again = EngineState((), busy=True, born=2)
+    again = EngineState((), order_in_progress=True, started_at_ms=2)
     assert agent.describe(again)[:2] == (0, False)
 
 
@@ -131,9 +137,14 @@
     step_until(agent, holds(engine, 1))
     reported = []
     agent.events.listeners.append(lambda kind, fields: reported.append((kind, fields)))
-    clock, within = agent.process.time, agent.process.cfg.bounds.version
-    agent.process.believer.beliefs.name_version("m", 2, clock[0])
-    queued = EngineState((Loaded("m", 1, 0, 4),), running=4, waiting=2, born=1)
+    clock, within = (
+        agent.process.time,
+        agent.process.cfg.limits.version_deadline_seconds,
+    )
+    agent.process.state_sync.cluster_state.declare_version("m", 2, clock[0])
+    queued = EngineState(
+        (LoadedLayers("m", 1, 0, 4),), running=4, waiting=2, started_at_ms=1
+    )
     agent.describe(queued)
     clock[0] += within + 0.1
     agent.describe(queued)
@@ -161,7 +172,7 @@
         return await read_state()
 
     engine.state = state_after_a_pause
-    agent.process.believer.beliefs.name_version("m", 2, 0.0)
+    agent.process.state_sync.cluster_state.declare_version("m", 2, 0.0)
     step_until(agent, holds(engine, 2))
     assert paused
 
@@ -180,7 +191,7 @@
         return await accept(model, version, queue, accepted)
 
     engine.load = slowly
-    agent.process.believer.beliefs.name_version("m", 2, 0.0)
+    agent.process.state_sync.cluster_state.declare_version("m", 2, 0.0)
     step_until(agent, lambda: engine.loading is not None)
     assert reported == [(1, False), (2, False)]
 
@@ -197,25 +208,27 @@
         return await accept(model, version, queue, accepted)
 
     engine.load = lost
-    beliefs = agent.process.believer.beliefs
-    beliefs.name_version("m", 2, 0.0)
+    cluster_state = agent.process.state_sync.cluster_state
+    cluster_state.declare_version("m", 2, 0.0)
     step_until_through_outages(agent, lambda: late)
-    beliefs.name_version("m", 3, 0.0)
+    cluster_state.declare_version("m", 3, 0.0)
     step_until_through_outages(agent, holds(engine, 3))
-    assert asyncio.run(accept(*late[0])) is OrderAnswer.REFUSED
+    assert asyncio.run(accept(*late[0])) is OrderResponse.REFUSED
     assert holds(engine, 3)()
 
 
 def test_no_report_is_sent_while_the_model_is_unknown(agent):
     # A restarted agent sent its first report before it had the configuration, without a
     # version. Entries then recalled all waiting requests of a healthy server.
-    agent.process.believer.beliefs.configuration = None
+    agent.process.state_sync.cluster_state.configuration = None
     sent = []
-    reporter = NewsLoop(agent.process, agent.engine, agent.describe)
+    reporter = EngineReporter(agent.process, agent.engine, agent.describe)
     reporter.sender = SimpleNamespace(
         send=lambda report, addresses: sent.append(report)
     )
-    loaded = EngineState((Loaded("m", 2, 0, 4),), busy=False, born=1)
+    loaded = EngineState(
+        (LoadedLayers("m", 2, 0, 4),), order_in_progress=False, started_at_ms=1
+    )
     reporter.send_report(loaded)
     assert sent == []
 
@@ -224,18 +237,20 @@
     agent, engine, origin
 ):
     step_until(agent, holds(engine, 1))
-    beliefs = agent.process.believer.beliefs
-    beliefs.name_version("m", 2, 0.0)
+    cluster_state = agent.process.state_sync.cluster_state
+    cluster_state.declare_version("m", 2, 0.0)
     step_until(agent, lambda: engine.loading is not None)
     engine.polls_left = 10_000
-    beliefs.name_version("m", 3, 0.0)
+    cluster_state.declare_version("m", 3, 0.0)
 
     async def one_step():
         await agent.step()
 
     asyncio.run(one_step())
     agent.process.time[0] += 1.0
-    loaded = EngineState((Loaded("m", 2, 0, 4),), busy=False, born=1)
+    loaded = EngineState(
+        (LoadedLayers("m", 2, 0, 4),), order_in_progress=False, started_at_ms=1
+    )
     assert agent.describe(loaded)[:2] == (2, True)
     assert sum(version == 3 for version, _ in origin.reads) == CHUNKS
     assert engine.loading is not None
@@ -256,7 +271,7 @@
     # The rows of replaced servers' agents stay. After a power loss the first readers of
     # each chunk were VMs that no longer exist, and no engine was loaded for 16 seconds.
     rows.listed = ["127.0.0.1"]
-    members = agent.process.believer.hearsay.members
+    members = agent.process.state_sync.gossip.members
     loop_time = time.monotonic
 
     async def run():
@@ -287,10 +302,10 @@
     # seconds no server held weights that may serve. Version 2 could have been complete
     # by then.
     step_until(agent, holds(engine, 1))
-    beliefs, clock = agent.process.believer.beliefs, agent.process.time
-    beliefs.name_version("m", 2, clock[0])
+    cluster_state, clock = agent.process.state_sync.cluster_state, agent.process.time
+    cluster_state.declare_version("m", 2, clock[0])
     asyncio.run(agent.manifests.get("m", 2))
-    beliefs.name_version("m", 3, clock[0] + 2.0)
+    cluster_state.declare_version("m", 3, clock[0] + 2.0)
     origin.missing_versions = {3}
     step_until_through_outages(agent, holds(engine, 2))
     origin.missing_versions = set()
@@ -301,10 +316,10 @@
 def test_an_older_version_is_loaded_while_the_newest_is_stalled(agent, engine, origin):
     # The manifest of version 3 was read before the origin lost all of its chunks.
     step_until(agent, holds(engine, 1))
-    beliefs, clock = agent.process.believer.beliefs, agent.process.time
-    beliefs.name_version("m", 2, clock[0])
+    cluster_state, clock = agent.process.state_sync.cluster_state, agent.process.time
+    cluster_state.declare_version("m", 2, clock[0])
     asyncio.run(agent.manifests.get("m", 2))
-    beliefs.name_version("m", 3, clock[0] + 2.0)
+    cluster_state.declare_version("m", 3, clock[0] + 2.0)
     asyncio.run(agent.manifests.get("m", 3))
     origin.missing_versions = {3}
 
@@ -313,10 +328,12 @@
 
 
 def test_an_older_version_that_expires_soon_is_not_fetched(agent, origin):
-    beliefs, clock = agent.process.believer.beliefs, agent.process.time
-    beliefs.name_version("m", 2, clock[0])
+    cluster_state, clock = agent.process.state_sync.cluster_state, agent.process.time
+    cluster_state.declare_version("m", 2, clock[0])
     asyncio.run(agent.manifests.get("m", 2))
-    beliefs.name_version("m", 3, clock[0] - agent.process.cfg.bounds.version + 1.0)
+    cluster_state.declare_version(
+        "m", 3, clock[0] - agent.process.cfg.limits.version_deadline_seconds + 1.0
+    )
     origin.missing_versions = {3}
     with pytest.raises(PlatformUnavailable):
         asyncio.run(agent.version_choice.manifest_to_fetch(MODEL, 1, 3))
@@ -333,14 +350,14 @@
 
 def test_a_swap_starts_with_its_rollout_wave_and_before_the_expiry(agent, engine):
     step_until(agent, holds(engine, 1))
-    beliefs, clock = agent.process.believer.beliefs, agent.process.time
-    members = agent.process.believer.hearsay.members
+    cluster_state, clock = agent.process.state_sync.cluster_state, agent.process.time
+    members = agent.process.state_sync.gossip.members
     agent.peers = ListedPeers(agent.process, agent.deployment)
     for i in range(2, 9):
         address = f"127.0.0.{i}:1"
         members[f"vm-{i}"] = Member(f"vm-{i}", AGENT, address, "r", "dc", "s")
-    beliefs.name_version("m", 2, clock[0])
-    over_at = clock[0] + agent.process.cfg.bounds.version
+    cluster_state.declare_version("m", 2, clock[0])
+    over_at = clock[0] + agent.process.cfg.limits.version_deadline_seconds
     agent._served_version = 1
     since, starts = clock[0], []
     for version in range(2, 40):
--- a/tests/adapter/test_engine.py
+++ b/tests/adapter/test_engine.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 from wasabideck_adapter.engine import EngineClient
-from wasabideck_policy.engine_state import OrderAnswer
+from wasabideck_policy.engine_state import OrderResponse
 
 
 @pytest.fixture
@@ -28,14 +28,14 @@
     # Guards against an order that the engine accepts after a newer one, and that
     # reverts the newer one.
     replies = [asyncio.run(engine.load("m", 2, True, accepted=7)) for _ in range(2)]
-    assert replies == [OrderAnswer.BEGUN, OrderAnswer.REFUSED]
+    assert replies == [OrderResponse.STARTED, OrderResponse.REFUSED]
     assert [order["expected-rev"] for order in orders] == [7, 7]
 
 
 def test_unload_orders_an_empty_range_of_layers(engine, orders):
     # Guards against an engine that loads half of a version when old weights are
     # unloaded.
-    assert asyncio.run(engine.unload("m", 3, accepted=1)) is OrderAnswer.BEGUN
+    assert asyncio.run(engine.unload("m", 3, accepted=1)) is OrderResponse.STARTED
     [order] = orders
     assert (order["from"], order["to"], order["switch-mode"]) == (0, 0, "queue")
     assert (order["version"], order["expected-rev"]) == (3, 1)
--- a/tests/adapter/test_http_pool.py
+++ b/tests/adapter/test_http_pool.py
@@ -4,12 +4,12 @@
 
 import pytest
 from wasabideck_base import http_connection
-from wasabideck_base.http_answers import (
+from wasabideck_base.http_pool import HttpPool, PooledClient
+from wasabideck_base.http_responses import (
     PlatformNonsense,
     PlatformRefused,
     PlatformUnavailable,
 )
-from wasabideck_base.http_pool import HttpPool, PooledClient
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
--- a/tests/adapter/test_manifests.py
+++ b/tests/adapter/test_manifests.py
@@ -7,20 +7,20 @@
 from agent_fakes import CHUNKS, FakeEngine, FakeOrigin, FakeStore, digest, new_agent
 from attrs import evolve
 from wasabideck_agent.numbered_manifests import READERS_PER_REGION
-from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_base.http_pool import HttpPool, PooledClient
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.inner_limits import InnerServer
 from wasabideck_policy.engine_state import EngineState
 from wasabideck_policy.manifests import (
     CorruptManifest,
-    Word,
-    likeliest,
+    ManifestReport,
     manifest_to_json,
-    numbered_from_json,
-    numbered_name,
+    most_reported,
+    numbered_manifest_from_json,
+    numbered_manifest_name,
 )
 from wasabideck_policy.membership import AGENT, Member
-from wasabideck_policy.rendezvous import rank
+from wasabideck_policy.rendezvous import rank_vms
 
 
 class CorruptOrigin(FakeOrigin):
@@ -39,7 +39,7 @@
     """Stays empty and busy: its agent holds a manifest and chunks, but no order."""
 
     async def state(self):
-        return EngineState((), True, born=self.born)
+        return EngineState((), True, started_at_ms=self.born)
 
 
 def agent_of(origin, engine=None):
@@ -64,7 +64,7 @@
         servers.append(server)
     for name, agent in agents.items():
         agent.process.cfg = evolve(agent.process.cfg, vm=name)
-        agent.process.believer.hearsay.members.update(members)
+        agent.process.state_sync.gossip.members.update(members)
     try:
         yield members
     finally:
@@ -100,7 +100,7 @@
 
     async def run():
         async with connected(has=has, late=late):
-            del has.process.believer.hearsay.members["late"]
+            del has.process.state_sync.gossip.members["late"]
             await loaded(has)
             origin_of(late).down = True
             kinds = record_events(late)
@@ -138,7 +138,7 @@
         async with connected(first=first, told=second, last=last):
             corrupt = await get_manifest(first)
             assert (await get_manifest(second)).digest == corrupt.digest
-            del last.process.believer.hearsay.members["first"]
+            del last.process.state_sync.gossip.members["first"]
             with pytest.raises(PlatformUnavailable):
                 await get_manifest(last)
 
@@ -198,19 +198,26 @@
     # Bytes of a peer with another release, or bytes corrupted in transit, must neither
     # terminate the agent nor make it load another version's chunks.
     manifest = asyncio.run(FakeOrigin().manifest("m", 1))
-    assert numbered_from_json(manifest_to_json(manifest), "m", 1) == manifest
+    assert numbered_manifest_from_json(manifest_to_json(manifest), "m", 1) == manifest
     with pytest.raises(CorruptManifest):
-        numbered_from_json(corrupted(manifest), "m", 1)
+        numbered_manifest_from_json(corrupted(manifest), "m", 1)
 
 
 def test_a_manifest_whose_chunks_are_all_held_outweighs_others():
     # A corrupt manifest lists a chunk that nobody has: who holds all chunks is right.
     good = asyncio.run(FakeOrigin().manifest("m", 1))
     bad = asyncio.run(CorruptOrigin().manifest("m", 1))
-    words = [Word(bad), Word(bad), Word(good, whole=True)]
-    assert likeliest(words) == good
-    assert likeliest([Word(good), Word(bad), Word(bad)]) == bad
-    assert likeliest([]) is None
+    words = [
+        ManifestReport(bad),
+        ManifestReport(bad),
+        ManifestReport(good, complete=True),
+    ]
+    assert most_reported(words) == good
+    assert (
+        most_reported([ManifestReport(good), ManifestReport(bad), ManifestReport(bad)])
+        == bad
+    )
+    assert most_reported([]) is None
 
 
 def test_an_idle_connection_is_closed():
@@ -281,7 +288,9 @@
 
 def test_a_corrupt_manifest_of_one_reader_is_not_accepted():
     agents = agents_of_one_region(12)
-    ranked = rank(f"{numbered_name('m', 1)}/r", agents)[:READERS_PER_REGION]
+    ranked = rank_vms(f"{numbered_manifest_name('m', 1)}/r", agents)[
+        :READERS_PER_REGION
+    ]
     agents[ranked[0]].deployment.open_origin = lambda *_: CorruptOrigin()
     found = manifests_of_all(agents)
     others = [a for name, a in agents.items() if name != ranked[0]]
@@ -291,7 +300,9 @@
 
 def test_lost_readers_delay_other_agents_only_briefly():
     agents = agents_of_one_region(12)
-    ranked = rank(f"{numbered_name('m', 1)}/r", agents)[:READERS_PER_REGION]
+    ranked = rank_vms(f"{numbered_manifest_name('m', 1)}/r", agents)[
+        :READERS_PER_REGION
+    ]
 
     async def run():
         async with connected(**agents):
--- a/tests/adapter/test_origin.py
+++ b/tests/adapter/test_origin.py
@@ -6,8 +6,8 @@
 from test_store import BODY, IDLE_TIMEOUT_SECONDS, start_slow_server
 from wasabideck_adapter import engine as engine_module
 from wasabideck_adapter.engine import OriginClient
-from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_base.http_pool import HttpPool, PooledClient
+from wasabideck_base.http_responses import PlatformUnavailable
 
 
 def read_chunk(parts, interval, complete):
@@ -17,7 +17,7 @@
             http = PooledClient(f"127.0.0.1:{port}", 3.0, pool)
             try:
                 async with asyncio.timeout(10):
-                    return await OriginClient(http).piece("m", 2, 0)
+                    return await OriginClient(http).chunk("m", 2, 0)
             finally:
                 server.close()
 
--- a/tests/adapter/test_report.py
+++ b/tests/adapter/test_report.py
@@ -8,7 +8,7 @@
 import pytest
 from attrs import asdict
 from wasabideck_adapter.programs import main
-from wasabideck_policy.deliveries import Delivery, row_key
+from wasabideck_policy.delivery_row import Delivery, delivery_key
 
 
 def _delivery(vm, version, started_at, in_force, source):
@@ -37,7 +37,7 @@
 @pytest.fixture
 def store():
     """Address of a fake store with the rows of the deliveries and one malformed row."""
-    rows = [(row_key(d), orjson.dumps(asdict(d))) for d in DELIVERIES]
+    rows = [(delivery_key(d), orjson.dumps(asdict(d))) for d in DELIVERIES]
     rows.append(("zz", b"not ours"))
 
     class Handler(BaseHTTPRequestHandler):
--- a/tests/adapter/test_rows.py
+++ b/tests/adapter/test_rows.py
@@ -3,13 +3,17 @@
 import json
 
 import pytest
-from wasabideck_adapter.fields import Malformed
-from wasabideck_adapter.rows import declaration_of, listed_of, read_configuration
+from wasabideck_adapter.head_codec import HEAD_CODEC
+from wasabideck_adapter.json_fields import Malformed
+from wasabideck_adapter.rows import (
+    parse_configuration,
+    parse_declaration,
+    parse_listed_server,
+)
 from wasabideck_adapter.settings import read_settings
-from wasabideck_adapter.wire import WIRE
 from wasabideck_base.rows import Row
-from wasabideck_forward.messages import CallerRequest, Sending
-from wasabideck_policy.backends import Loaded
+from wasabideck_forward.http_heads import CallerRequest, RequestParameters
+from wasabideck_policy.backends import LoadedLayers
 from wasabideck_policy.configuration import Kind
 
 CONFIGURATION = {
@@ -69,22 +73,30 @@
 
 
 def test_all_parts_of_a_configuration_are_decoded():
-    cfg = read_configuration(json.dumps(CONFIGURATION).encode())
+    cfg = parse_configuration(json.dumps(CONFIGURATION).encode())
     assert cfg.number == 7
     route = cfg.route("h.example", "/a/x")
-    assert (route.kind, route.timeout, route.pause) == (Kind.STREAM, 6.0, 0.3)
+    assert (route.kind, route.timeout_seconds, route.max_event_interval_seconds) == (
+        Kind.STREAM,
+        6.0,
+        0.3,
+    )
     assert route.idempotent
     assert cfg.route("h.example", "/a/b/c").shares == (("x", 90), ("y", 10))
-    assert cfg.limits.header_bytes == 100
-    assert cfg.limits.idle_seconds == 1.5
+    assert cfg.limits.max_header_bytes == 100
+    assert cfg.limits.idle_timeout_seconds == 1.5
     assert cfg.keys["k2"].name == "t"
     assert cfg.origin().address == "172.20.0.3:8006"
 
 
 def test_server_row_is_decoded():
-    listed = listed_of(server_row())
-    assert listed.loaded == (Loaded("m", 2, 0, 16),)
-    assert (listed.cold_seconds, listed.born, listed.leaving) == (1.5, 17, False)
+    listed = parse_listed_server(server_row())
+    assert listed.loaded == (LoadedLayers("m", 2, 0, 16),)
+    assert (listed.cold_seconds, listed.started_at_ms, listed.leaving) == (
+        1.5,
+        17,
+        False,
+    )
 
 
 @pytest.mark.parametrize(
@@ -105,33 +117,33 @@
 )
 def test_server_row_with_a_wrong_field_is_malformed(changes):
     with pytest.raises(Malformed) as caught:
-        listed_of(server_row(**changes))
+        parse_listed_server(server_row(**changes))
     assert caught.value.field
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"5", b"{"])
 def test_bytes_that_are_no_json_object_are_malformed(value):
     with pytest.raises(Malformed):
-        listed_of(Row("servers", "i-1", value, 5))
+        parse_listed_server(Row("servers", "i-1", value, 5))
     with pytest.raises(Malformed):
-        read_configuration(value)
+        parse_configuration(value)
     with pytest.raises(Malformed):
-        declaration_of(Row("op", "config", value, 5))
+        parse_declaration(Row("op", "config", value, 5))
 
 
 def test_row_of_a_loading_server_may_have_null_layers():
     # While an engine loads, the layers in its row are null. Code that expected a list
     # terminated every agent at the same moment, in the middle of a rollout.
-    assert listed_of(server_row(models=[], layers=None)).loaded == ()
-    assert listed_of(server_row(layers=None)).loaded[0].version == 2
+    assert parse_listed_server(server_row(models=[], layers=None)).loaded == ()
+    assert parse_listed_server(server_row(layers=None)).loaded[0].version == 2
 
 
 def test_operators_rows_are_decoded_into_declarations():
     value = json.dumps({"model": "m", "version": 3}).encode()
-    declared = declaration_of(Row("op", "version/m", value, 9))
+    declared = parse_declaration(Row("op", "version/m", value, 9))
     assert (declared.key, declared.number) == ("weights/m", 3)
-    assert declaration_of(Row("op", "other", b"{}", 9)) is None
-    assert declaration_of(Row("op", "config", b"", 9, removed=True)) is None
+    assert parse_declaration(Row("op", "other", b"{}", 9)) is None
+    assert parse_declaration(Row("op", "config", b"", 9, removed=True)) is None
 
 
 def test_headers_that_callers_must_not_set_are_dropped():
@@ -150,16 +162,18 @@
         (b"X-Token-Usage", b"1460,80"),
         (b"X-Deadline-Ms", b"6097"),
     ]
-    head = WIRE.read_request(headers)
-    assert (head.host, head.key, head.prompt, head.answer) == (
+    head = HEAD_CODEC.parse_request_head(headers)
+    assert (head.host, head.api_key, head.prompt_tokens, head.max_response_tokens) == (
         "h.example",
         "k",
         1460,
         80,
     )
-    assert head.deadline == 6.097
+    assert head.wait_seconds == 6.097
     req = CallerRequest(b"POST", b"/p?q", headers, head, 0.0, body=b"x" * 5)
-    sent = WIRE.write_request(req, Sending("i-1", 0.25, "org", version=4))
+    sent = HEAD_CODEC.format_request_head(
+        req, RequestParameters("i-1", 0.25, "org", version=4)
+    )
     assert b"evil" not in sent and b"X-Drop" not in sent and b"chunked" not in sent
     for line in (
         b"X-Keep: 1",
@@ -173,13 +187,18 @@
 
 
 def test_response_headers_are_decoded_for_each_status():
-    refused = WIRE.read_answer(503, [(b"X-Not-Executed", b"1")])
+    refused = HEAD_CODEC.parse_response_head(503, [(b"X-Not-Executed", b"1")])
     assert refused.refused
-    assert not WIRE.read_answer(503, []).refused
-    assert not WIRE.read_answer(400, [(b"X-Not-Executed", b"1")]).refused
-    assert WIRE.read_answer(421, []).other_server
-    assert WIRE.read_answer(200, [(b"X-Server-Load", b"3,1,8")]).load.waiting == 1
-    assert WIRE.read_answer(200, [(b"X-Server-Load", b"3,x,8")]).load is None
+    assert not HEAD_CODEC.parse_response_head(503, []).refused
+    assert not HEAD_CODEC.parse_response_head(400, [(b"X-Not-Executed", b"1")]).refused
+    assert HEAD_CODEC.parse_response_head(421, []).misdirected
+    assert (
+        HEAD_CODEC.parse_response_head(200, [(b"X-Server-Load", b"3,1,8")]).load.waiting
+        == 1
+    )
+    assert (
+        HEAD_CODEC.parse_response_head(200, [(b"X-Server-Load", b"3,x,8")]).load is None
+    )
 
 
 SETTINGS = {
@@ -206,8 +225,8 @@
 
 def test_settings_are_decoded_and_unknown_fields_ignored(tmp_path):
     cfg = read_settings(write_settings(tmp_path, SETTINGS))
-    assert cfg.bounds.version == 9.0
-    assert cfg.link_rate == 1_000_000
+    assert cfg.limits.version_deadline_seconds == 9.0
+    assert cfg.link_bytes_per_second == 1_000_000
     assert cfg.inner_seeds() == ["10.2.0.37:7700"]
 
 
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -5,8 +5,8 @@
 import pytest
 from wasabideck_adapter import store as store_module
 from wasabideck_adapter.store import StoreClient
-from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_base.http_pool import HttpPool, PooledClient
+from wasabideck_base.http_responses import PlatformUnavailable
 
 BODY = b'{"rows": [], "ver": 7, "pad": "%s"}' % (b"x" * 400)
 IDLE_TIMEOUT_SECONDS = 0.2
@@ -75,13 +75,13 @@
             http = PooledClient(f"127.0.0.1:{port}", 3.0, pool)
             client = StoreClient(http)
             reading = asyncio.create_task(client.read("op"))
-            while client.received("op") == 0:
+            while client.received_bytes("op") == 0:
                 await asyncio.sleep(0.01)
-            assert client.received("op") < len(BODY)
+            assert client.received_bytes("op") < len(BODY)
             assert not reading.done()
             await reading
-            assert client.received("op") == len(BODY)
-            assert client.received("servers") == 0
+            assert client.received_bytes("op") == len(BODY)
+            assert client.received_bytes("servers") == 0
         server.close()
 
     asyncio.run(asyncio.wait_for(run(), 10))
--- a/tests/answers_fakes.py
+++ b/tests/agent_entry_fakes.py
@@ -6,24 +6,24 @@
 
 from attrs import define, field
 from grpclib.server import Server
+from wasabideck_agent.at_most_once import AtMostOnce, Holder
 from wasabideck_agent.attempts import Attempts
 from wasabideck_agent.claim_store import ClaimStore
-from wasabideck_agent.once import Holder, Once
-from wasabideck_agent.runs import Runner
+from wasabideck_agent.runner import Runner
 from wasabideck_agent.runs_service import RunsService
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock
-from wasabideck_base.http_answers import PlatformUnavailable
-from wasabideck_base.servers import Loaded
+from wasabideck_base.events import HybridClock
+from wasabideck_base.http_responses import PlatformUnavailable
+from wasabideck_base.server_clients import ServedState
 from wasabideck_base.table import CheckFailed
 from wasabideck_entry.calls import Call, Caller, Ended, Part
 from wasabideck_entry.resolve import Resolver
 from wasabideck_entry.streams import AttemptStream
 from wasabideck_entry.suspects import Suspects
-from wasabideck_policy.admission import Gate
-from wasabideck_policy.arrivals import Arrivals
+from wasabideck_policy.admission import AdmissionControl
+from wasabideck_policy.attempt_registry import AttemptRegistry
+from wasabideck_policy.load_balancing import ServerState as Target
 from wasabideck_policy.quarantine import Quarantine
-from wasabideck_policy.routing import Server as Target
 from wasabideck_wire import inner_pb2 as pb
 
 
@@ -42,7 +42,7 @@
     """Keeps events in memory."""
 
     kept: list = field(factory=list)
-    clock: Clock = field(factory=Clock)
+    clock: HybridClock = field(factory=HybridClock)
 
     def emit(self, kind, /, **fields):
         self.kept.append((kind, fields))
@@ -146,7 +146,7 @@
         self.jobs.append(job)
         for index in range(job.resume_from, self.words):
             if index == self.dies_at:
-                from wasabideck_base.servers import ServerDied
+                from wasabideck_base.server_clients import ServerDied
 
                 raise ServerDied("fake", "died")
             self.produced += 1
@@ -174,9 +174,9 @@
     server: Server | None = None
 
     def __attrs_post_init__(self):
-        self.channels = Channels(Clock())
+        self.channels = Channels(HybridClock())
         claims = ClaimStore(self.table, self.events, retry_seconds=0.0)
-        once = Once(
+        once = AtMostOnce(
             Holder(self.vm, "", self.incarnation),
             claims,
             self.channels,
@@ -187,26 +187,26 @@
         )
         self.runner = Runner(
             self.vm,
-            Gate(4, open=True),
+            AdmissionControl(4, accepting=True),
             self.events,
             self.engine,
             self.plain,
             once,
-            Attempts(Arrivals(self.incarnation)),
-            serving=Loaded(1, "drafter", "v1", "m1"),
+            Attempts(AttemptRegistry(self.incarnation)),
+            serving=ServedState(1, "drafter", "v1", "m1"),
             clock=self.now,
             wall=self.events.wall,
         )
 
     @property
     def address(self):
-        return self.runner.once.holder.address
+        return self.runner.at_most_once.holder.address
 
     async def serve(self):
         self.server = Server([RunsService(self.runner, heartbeat_seconds=0.02)])
         await self.server.start("127.0.0.1", 0)
         host, port = self.server._server.sockets[0].getsockname()
-        self.runner.once.holder.address = f"{host}:{port}"
+        self.runner.at_most_once.holder.address = f"{host}:{port}"
         return self
 
     def close(self):
@@ -217,7 +217,7 @@
     async def run(self, req):
         """Run a request while its events are read; return its final event."""
         attempt = self.runner.start(req)
-        with attempt.reading(self.now):
+        with attempt.attach_reader(self.now):
             return await self.final(attempt)
 
     async def final(self, attempt):
@@ -261,12 +261,12 @@
     )
 
 
-def engine_agent(vm="draft-1", **kw):
+def make_engine_agent(vm="draft-1", **kw):
     engine = kw.pop("engine", None) or FakeEngine(**kw.pop("engine_kw", {}))
     return FakeAgent(vm, FakeTable(), engine=engine, **kw)
 
 
-class Gated(FakeEngine):
+class GatedEngine(FakeEngine):
     """An engine that waits before each line until a test releases ``turn``."""
 
     def __init__(self):
@@ -279,7 +279,7 @@
             yield line
 
 
-def server_of(agent, manifest="m1", address=""):
+def make_target(agent, manifest="m1", address=""):
     return Target(
         agent.vm,
         "drafting",
@@ -298,7 +298,7 @@
         server,
         req,
         now.at + 50,
-        Channels(Clock()),
+        Channels(HybridClock()),
         FakeEvents(),
         unresolved,
         now,
@@ -321,11 +321,11 @@
         return [s for s in self.servers if s.vm not in without and s.serving]
 
 
-def caller_of(*servers, quarantine=None, now=None, table=None):
+def make_caller(*servers, quarantine=None, now=None, table=None):
     suspects = Suspects(quarantine or Quarantine(), wall=lambda: 1000.0)
     return Caller(
         FakeFleet(*servers),
-        Channels(Clock()),
+        Channels(HybridClock()),
         FakeEvents(),
         lambda servers, ask, now, rng: servers[0],
         random.Random(7),
--- a/tests/beliefs/region.py
+++ b/tests/cluster_state/region_of_entries.py
@@ -6,14 +6,14 @@
 
 import orjson
 from wasabideck_adapter.deployment import DEPLOYMENT
-from wasabideck_base.believer import Believer
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.hearsay import HearsayService
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.gossip import GossipService
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.inner_limits import InnerServer
-from wasabideck_base.node import NodeSettings, StoreSettings
-from wasabideck_base.rows import Changes, Row
+from wasabideck_base.rows import Row, RowChanges
+from wasabideck_base.state_sync import StateSync
+from wasabideck_base.vm_settings import StoreSettings, VMSettings
 from wasabideck_policy.membership import ENTRY, Member
 
 REGION = "r"
@@ -55,13 +55,13 @@
         self.store, self.vm = store, vm
         self.follows = []
 
-    def received(self, table):
+    def received_bytes(self, table):
         return 0
 
     async def read(self, table):
         return await self._changes(table, -1)
 
-    async def follow(self, table, after, wait):
+    async def wait_for_changes(self, table, after, wait):
         if table == "op":
             self.follows.append(after)
         deadline = asyncio.get_running_loop().time() + wait
@@ -85,7 +85,7 @@
         found = [row for row in self.store.rows.values() if row.table == table]
         found = sorted((r for r in found if r.version > after), key=lambda r: r.version)
         self.store.sent += [(self.vm, row) for row in found]
-        return Changes(tuple(found), self.store.version)
+        return RowChanges(tuple(found), self.store.version)
 
     async def _reach(self):
         if self.vm in self.store.unresponsive:
@@ -102,18 +102,18 @@
         self.emitted, self.rng = [], random.Random(seed)
 
     async def start(self):
-        clock = Clock()
+        clock = HybridClock()
         self.running = asyncio.Event()
         self.running.set()
         events = Events(self.vm, clock, lambda: 0.0)
         events.listeners.append(
             lambda kind, fields: self.emitted.append((kind, fields))
         )
-        cfg = NodeSettings(self.vm, "127.0.0.1", "dc", REGION, 1, StoreSettings(""))
+        cfg = VMSettings(self.vm, "127.0.0.1", "dc", REGION, 1, StoreSettings(""))
         self.me = Member(self.vm, ENTRY, "", REGION)
         self.process_store = ProcessStore(self.store, self.vm)
         loop = asyncio.get_running_loop()
-        self.believer = Believer(
+        self.state_sync = StateSync(
             cfg,
             self.me,
             DEPLOYMENT,
@@ -127,10 +127,10 @@
         await self.server.start("127.0.0.1", 0)
         port = self.server._server.sockets[0].getsockname()[1]
         self.me = Member(self.vm, ENTRY, f"127.0.0.1:{port}", REGION)
-        self.believer.me = self.me
+        self.state_sync.me = self.me
 
     def run(self):
-        self.tasks = [asyncio.create_task(step) for step in self.believer.loops()]
+        self.tasks = [asyncio.create_task(step) for step in self.state_sync.loops()]
 
     def suspend(self):
         """Answer no call and stop all loops, as a suspended process would."""
@@ -141,12 +141,12 @@
     def stop(self):
         self.suspend()
         self.server.close()
-        self.believer.channels.close()
+        self.state_sync.channels.close()
 
     @property
     def number(self):
         """Number of the configuration in effect."""
-        cfg = self.believer.beliefs.configuration
+        cfg = self.state_sync.cluster_state.configuration
         return cfg.number if cfg else 0
 
     def events_of(self, kind):
@@ -154,12 +154,12 @@
 
 
 def _gated(entry):
-    class Gated(HearsayService):
+    class Gated(GossipService):
         async def Sync(self, stream):
             await entry.running.wait()
             await super().Sync(stream)
 
-    return Gated(entry.believer.hearsay)
+    return Gated(entry.state_sync.gossip)
 
 
 async def wait_until(condition, seconds=3.0):
@@ -183,7 +183,7 @@
             await entry.start()
         try:
             for entry in entries:
-                entry.believer.hearsay.members.update((e.vm, e.me) for e in entries)
+                entry.state_sync.gossip.members.update((e.vm, e.me) for e in entries)
                 entry.run()
             await wait_until(lambda: all(e.number == 1 for e in entries))
             async with asyncio.timeout(10):
--- a/tests/beliefs/test_backends.py
+++ b/tests/cluster_state/test_backends.py
@@ -4,26 +4,28 @@
 from wasabideck_policy.backends import (
     MASS_REMOVAL_HOLD_SECONDS,
     RELISTING_SECONDS,
-    Backends,
-    Listed,
-    Loaded,
+    BackendRegistry,
+    ListedServer,
+    LoadedLayers,
 )
 
 
 def listed(server, service="s", leaving=False, **kw):
-    return Listed(server, service, f"10.0.0.1:{len(server)}", "dc", 8, leaving, **kw)
+    return ListedServer(
+        server, service, f"10.0.0.1:{len(server)}", "dc", 8, leaving, **kw
+    )
 
 
 @pytest.fixture
 def backends():
-    found = Backends()
+    found = BackendRegistry()
     for name in ("a", "bb", "ccc", "dddd"):
-        found.take(listed(name))
+        found.update(listed(name))
     return found
 
 
 def names(backends, now):
-    return {b.server for b in backends.of_service("s", now)}
+    return {b.server for b in backends.in_service("s", now)}
 
 
 def test_a_removed_server_gets_no_more_requests(backends):
@@ -41,7 +43,7 @@
     # it reports all removals before the running servers have written their entries
     # again: if they took effect, no server would be left for two seconds, and all
     # requests would be refused.
-    backends.outage_ended = 100.0
+    backends.outage_ended_at = 100.0
     backends.remove(["a", "bb"], 100.1)
     backends.take(listed("bb"))
     assert names(backends, 100.2) == {"a", "bb", "ccc", "dddd"}
@@ -50,7 +52,7 @@
 
 def test_a_server_that_was_shutting_down_is_not_kept(backends):
     backends.take(listed("a", leaving=True))
-    backends.outage_ended = 100.0
+    backends.outage_ended_at = 100.0
     backends.remove(["a"], 100.1)
     assert backends.get("a") is None
 
@@ -67,7 +69,7 @@
     # Three of four servers are replaced at once, and don't report that they shut down:
     # only their entries are removed. Requests may be sent to them for two seconds,
     # which includes the delay of the list.
-    backends.mass_seconds = 1.2
+    backends.mass_removal_hold_seconds = 1.2
     backends.remove(["a", "bb", "ccc"], 100.4)
     assert names(backends, 102.0) == {"dddd"}
 
@@ -80,22 +82,22 @@
 
 
 def test_listed_layers_count_only_if_complete(backends):
-    part = backends.take(listed("a", loaded=(Loaded("m", 2, 0, 8),)))
+    part = backends.take(listed("a", loaded=(LoadedLayers("m", 2, 0, 8),)))
     assert part.holds("m", 16, 100.0) == 0
-    whole = backends.take(listed("a", loaded=(Loaded("m", 2, 0, 16),)))
+    whole = backends.take(listed("a", loaded=(LoadedLayers("m", 2, 0, 16),)))
     assert whole.holds("m", 16, 100.0) == 2
 
 
 def test_a_mass_removal_received_late_is_not_ignored_for_longer(backends):
     # Guards against removed servers that get requests for longer than allowed.
-    backends.mass_seconds = 1.2
+    backends.mass_removal_hold_seconds = 1.2
     backends.remove(["a", "bb", "ccc"], 101.0, since=100.0)
     assert names(backends, 101.1) == {"a", "bb", "ccc", "dddd"}
     assert names(backends, 101.25) == {"dddd"}
 
 
 def at(address, server, born, **kw):
-    return Listed(server, "s", address, "dc", 8, born=born, **kw)
+    return ListedServer(server, "s", address, "dc", 8, started_at_ms=born, **kw)
 
 
 def test_a_server_whose_address_was_reused_gets_no_requests():
@@ -103,28 +105,28 @@
     # the old entries, which expire later, beside the new ones. It sent requests to the
     # old servers, which were refused at the cost of one attempt each, and assigned the
     # reports of agents to them.
-    backends = Backends()
-    backends.take(at("10.0.0.1:1", "old", 1, loaded=(Loaded("m", 2, 0, 16),)))
-    backends.take(at("10.0.0.1:1", "new", 2))
-    backends.take(at("10.0.0.2:1", "other", 1))
+    backends = BackendRegistry()
+    backends.update(at("10.0.0.1:1", "old", 1, loaded=(LoadedLayers("m", 2, 0, 16),)))
+    backends.update(at("10.0.0.1:1", "new", 2))
+    backends.update(at("10.0.0.2:1", "other", 1))
     assert names(backends, 100.0) == {"new", "other"}
-    assert backends.at("10.0.0.1:1").server == "new"
+    assert backends.find_by_address("10.0.0.1:1").server == "new"
 
 
 def test_servers_without_a_start_time_are_all_used():
-    backends = Backends()
+    backends = BackendRegistry()
     for name in ("a", "b"):
-        backends.take(at("10.0.0.1:1", name, 0))
+        backends.update(at("10.0.0.1:1", name, 0))
     assert names(backends, 100.0) == {"a", "b"}
 
 
 def servers_with_requests(*heard, now=100.0):
     """Servers of one data centre with a request each, by seconds since any data."""
-    backends = Backends()
+    backends = BackendRegistry()
     for n, ago in enumerate(heard):
-        backend = backends.take(at(f"10.0.0.{n}:1", f"i-{n}", 1))
-        backend.begin(now - ago)
-        backend.heard_at = now - ago
+        backend = backends.update(at(f"10.0.0.{n}:1", f"i-{n}", 1))
+        backend.add_request(now - ago)
+        backend.last_received_at = now - ago
     return backends
 
 
--- a/tests/beliefs/test_burst_loads.py
+++ b/tests/cluster_state/test_burst_loads.py
@@ -7,25 +7,29 @@
 
 import pytest
 from attrs import evolve
-from wasabideck_lab.burst_command import LOADS
-from wasabideck_lab.burst_model import play
-from wasabideck_lab.burst_policies import LeastInProgress, Product, RoundRobin
+from wasabideck_lab.burst_loads import LOADS
+from wasabideck_lab.burst_model import simulate
+from wasabideck_lab.burst_policies import (
+    LeastInProgressPolicy,
+    ProductPolicy,
+    RoundRobinPolicy,
+)
 from wasabideck_policy import placement
-from wasabideck_policy.late_lane import LateLane
-from wasabideck_policy.waves import DRAIN_SECONDS, wave_delay
+from wasabideck_policy.late_requests import LateRequestLimiter
+from wasabideck_policy.rollout_waves import DRAIN_SECONDS, rollout_delay
 
 SEEDS = range(5)
 
 
 def mean(load, policy, name):
-    results = [play(load, policy, seed) for seed in SEEDS]
+    results = [simulate(load, policy, seed) for seed in SEEDS]
     return sum(getattr(result, name) for result in results) / len(results)
 
 
 @pytest.mark.parametrize("load", ["added-late", "too-few", "replaced"])
 def test_under_overload_more_requests_are_in_time_than_with_plain_policies(load):
-    in_time = mean(LOADS[load], Product, "in_time")
-    for plain in (RoundRobin, LeastInProgress):
+    in_time = mean(LOADS[load], ProductPolicy, "in_time")
+    for plain in (RoundRobinPolicy, LeastInProgressPolicy):
         assert in_time > mean(LOADS[load], plain, "in_time") + 0.01
 
 
@@ -33,9 +37,9 @@
     # Engines are replaced one after the other, and the first new one is ready while the
     # others are full. All entries see an empty engine; it gets a batch of prompts
     # within 0.3 s, reads them for 0.8 s, and all of these requests are late.
-    weighted = mean(LOADS["replaced"], Product, "in_time")
-    monkeypatch.setattr(placement, "UNREAD_WEIGHT", 0.0)
-    assert weighted > mean(LOADS["replaced"], Product, "in_time") + 0.02
+    weighted = mean(LOADS["replaced"], ProductPolicy, "in_time")
+    monkeypatch.setattr(placement, "UNREAD_PROMPT_REQUESTS", 0.0)
+    assert weighted > mean(LOADS["replaced"], ProductPolicy, "in_time") + 0.02
 
 
 def test_late_requests_after_an_outage_do_not_delay_others_for_long(monkeypatch):
@@ -43,11 +47,15 @@
     # aborted, arrive at once, take all slots of the restarted engines, and make the
     # following requests late. The windows start at the end of the outage.
     def after():
-        results = [play(LOADS["outage"], Product, seed).windows for seed in SEEDS]
+        results = [
+            simulate(LOADS["outage"], ProductPolicy, seed).windows for seed in SEEDS
+        ]
         return sum(sum(windows[5:8]) / 3 for windows in results) / len(results)
 
     limited = after()
-    monkeypatch.setattr(LateLane, "has_room", lambda lane, engines, entries: True)
+    monkeypatch.setattr(
+        LateRequestLimiter, "may_send", lambda lane, engines, entries: True
+    )
     assert limited > after() + 0.05
 
 
@@ -56,7 +64,10 @@
     # longest of them keeps 15 slots idle for two seconds.
     ending = evolve(LOADS["swap"], drain_seconds=float("inf"))
     moving = LOADS["swap"]
-    assert mean(moving, Product, "worst") > mean(ending, Product, "worst") + 0.05
+    assert (
+        mean(moving, ProductPolicy, "worst")
+        > mean(ending, ProductPolicy, "worst") + 0.05
+    )
 
 
 def test_staggered_swaps_cost_less_in_the_worst_seconds():
@@ -65,16 +76,19 @@
     staggered = LOADS["swap"]
     calm, busier, swap = staggered.phases
     at_once = evolve(
-        staggered, phases=(calm, busier, evolve(swap, swaps=(0.0,) * swap.engines))
+        staggered,
+        phases=(calm, busier, evolve(swap, swap_delays=(0.0,) * swap.engines)),
+    )
+    assert mean(staggered, ProductPolicy, "worst") > mean(
+        at_once, ProductPolicy, "worst"
     )
-    assert mean(staggered, Product, "worst") > mean(at_once, Product, "worst")
 
 
 VMS = [f"vm-{i}" for i in range(12)]
 
 
 def delays(spare, vms=VMS):
-    return sorted({wave_delay(vm, 2, vms, 0.3, spare) for vm in vms})
+    return sorted({rollout_delay(vm, 2, vms, 0.3, spare) for vm in vms})
 
 
 def test_rollout_waves_fit_into_the_remaining_time():
@@ -85,7 +99,7 @@
 
 
 def test_rollout_waves_have_equal_sizes_and_follow_each_other():
-    each = [wave_delay(vm, 2, VMS, 0.3, 2.0) for vm in VMS]
+    each = [rollout_delay(vm, 2, VMS, 0.3, 2.0) for vm in VMS]
     assert each.count(0.0) == len(VMS) // 2
     assert delays(2.0)[1] > DRAIN_SECONDS + 0.3
     assert delays(60.0, ["vm-0"]) == [0.0]
--- a/tests/beliefs/test_cold_start.py
+++ b/tests/cluster_state/test_cold_start.py
@@ -10,11 +10,11 @@
 
 import pytest
 from wasabideck_adapter.deployment import DEPLOYMENT
-from wasabideck_base.believer import Believer
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.node import NodeSettings, StoreSettings
-from wasabideck_base.rows import Changes, HistoryLost, Row
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.rows import HistoryLost, Row, RowChanges
+from wasabideck_base.state_sync import StateSync
+from wasabideck_base.vm_settings import StoreSettings, VMSettings
 from wasabideck_policy.declarations import Declaration, weights_key
 from wasabideck_policy.membership import AGENT, ENTRY, Member
 from wasabideck_wire import inner_pb2 as pb
@@ -30,13 +30,13 @@
 
 
 def new_process(kind, clock):
-    return Believer(
-        NodeSettings("vm", "127.0.0.1", "dc", "r", 1, StoreSettings("")),
+    return StateSync(
+        VMSettings("vm", "127.0.0.1", "dc", "r", 1, StoreSettings("")),
         Member("vm", kind, "127.0.0.1:1", "r"),
         DEPLOYMENT,
-        SimpleNamespace(received=lambda table: 0),
-        Channels(Clock()),
-        Events("vm", Clock(), lambda: 0.0),
+        SimpleNamespace(received_bytes=lambda table: 0),
+        Channels(HybridClock()),
+        Events("vm", HybridClock(), lambda: 0.0),
         lambda: clock[0],
         random.Random(1),
     )
@@ -50,7 +50,7 @@
     return Declaration(KEY, number, b'{"model":"m","version":%d}' % number)
 
 
-def store_answers(believer, clock, *answers):
+def store_answers(state_sync, clock, *answers):
     """Have the store answer calls: (requested at, answered at, changes or failure)."""
 
     async def run():
@@ -63,16 +63,16 @@
                 return outcome
 
             clock[0] = requested_at
-            believer.store.read = believer.store.follow = answer
+            state_sync.store.read = state_sync.store.wait_for_changes = answer
             try:
-                await believer.operator_watch.step()
+                await state_sync.operator_watch.step()
             except HistoryLost:
-                believer.operator_watch._needs_full_read = True
+                state_sync.operator_watch._needs_full_read = True
 
     asyncio.run(run())
 
 
-def receive_gossip(believer, *declarations, ages=()):
+def receive_gossip(state_sync, *declarations, ages=()):
     entries = [
         pb.Entry(scope=KEY, slot="declared", ticket=d.number, change=d.content)
         for d in declarations
@@ -83,15 +83,15 @@
     ]
 
     async def run():
-        believer.hearsay._apply_entries(entries, "10.0.0.9:1")
+        state_sync.gossip._apply_entries(entries, "10.0.0.9:1")
 
     asyncio.run(run())
 
 
-def least_version(believer, clock, at):
+def least_version(state_sync, clock, at):
     clock[0] = at
-    within = believer.cfg.bounds.version - MARGIN
-    return believer.beliefs.least_version("m", within, at)
+    within = state_sync.cfg.limits.version_deadline_seconds - MARGIN
+    return state_sync.cluster_state.least_version("m", within, at)
 
 
 def test_version_after_stale_first_read_is_not_new(clock):
@@ -100,8 +100,8 @@
     store_answers(
         entry,
         clock,
-        (35.05, 35.1, Changes((row(5, 2),), 5)),
-        (35.1, 35.15, Changes((row(9, 3),), 9)),
+        (35.05, 35.1, RowChanges((row(5, 2),), 5)),
+        (35.1, 35.15, RowChanges((row(9, 3),), 9)),
     )
     assert least_version(entry, clock, 37.9) == 3
 
@@ -112,9 +112,9 @@
     store_answers(
         entry,
         clock,
-        (35.05, 35.1, Changes((row(5, 2),), 5)),
+        (35.05, 35.1, RowChanges((row(5, 2),), 5)),
         (35.1, 35.15, HistoryLost("op", 5)),
-        (35.3, 35.35, Changes((row(9, 3),), 9)),
+        (35.3, 35.35, RowChanges((row(9, 3),), 9)),
     )
     assert least_version(entry, clock, 37.9) == 3
 
@@ -125,14 +125,14 @@
     store_answers(
         stale,
         clock,
-        (35.05, 35.1, Changes((), 3)),
-        (35.1, 35.15, Changes((row(9, 3),), 9)),
+        (35.05, 35.1, RowChanges((), 3)),
+        (35.1, 35.15, RowChanges((row(9, 3),), 9)),
     )
-    store_answers(sound, clock, (35.05, 35.2, Changes((row(9, 3),), 9)))
+    store_answers(sound, clock, (35.05, 35.2, RowChanges((row(9, 3),), 9)))
     assert least_version(sound, clock, 37.9) == 3
     clock[0] = 35.4
-    reply = stale.hearsay.handle_sync(sound.hearsay._sync_request())
-    sound.hearsay._apply_entries(reply.entries, "stale")
+    reply = stale.gossip.handle_sync(sound.gossip._sync_request())
+    sound.gossip._apply_entries(reply.entries, "stale")
     assert least_version(sound, clock, 37.9) == 3
 
 
@@ -143,8 +143,8 @@
     store_answers(
         entry,
         clock,
-        (35.05, 35.1, Changes((row(9, 3),), 9)),
-        (35.1, 36.0, Changes((row(12, 3),), 12)),
+        (35.05, 35.1, RowChanges((row(9, 3),), 9)),
+        (35.1, 36.0, RowChanges((row(12, 3),), 12)),
     )
     assert least_version(entry, clock, 37.9) == 3
 
@@ -152,7 +152,7 @@
 def test_version_in_late_first_answer_of_agent_is_in_effect(clock):
     # Guards against an agent whose first answer arrives late, over a full link.
     agent = new_process(AGENT, clock)
-    clock[0] = STARTED + agent.cfg.bounds.stable + 0.1
+    clock[0] = STARTED + agent.cfg.limits.disturbance_hold_seconds + 0.1
 
     async def read():
         agent._apply_operator_rows([row(9, 3)])
@@ -166,10 +166,12 @@
     # Guards against version 2 counting as new when version 3 arrives without an age.
     process = new_process(kind, clock)
     if kind == ENTRY:
-        store_answers(process, clock, (35.05, 35.1, Changes((row(5, 2),), 5)))
+        store_answers(process, clock, (35.05, 35.1, RowChanges((row(5, 2),), 5)))
     else:
         receive_gossip(process, declaration(2))
     clock[0] = 38.1
     receive_gossip(process, declaration(3))
-    over_at = process.beliefs.over_at("m", 2, process.cfg.bounds.version)
+    over_at = process.cluster_state.expires_at(
+        "m", 2, process.cfg.limits.version_deadline_seconds
+    )
     assert over_at <= 38.1
--- a/tests/beliefs/test_version_dates.py
+++ b/tests/cluster_state/test_declaration_times.py
@@ -4,11 +4,11 @@
 import random
 
 import pytest
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.http_answers import PlatformUnavailable
-from wasabideck_base.rows import Changes, Row, WriteConflict
-from wasabideck_base.version_dates import TIMES_TABLE, DeclarationTimes
-from wasabideck_policy.beliefs import Beliefs
+from wasabideck_base.declaration_times import TIMES_TABLE, DeclarationTimes
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.http_responses import PlatformUnavailable
+from wasabideck_base.rows import Row, RowChanges, WriteConflict
+from wasabideck_policy.cluster_state import ClusterState
 
 WITHIN = 8.0
 # Offset of the store's clock from the processes' own, in seconds.
@@ -29,7 +29,7 @@
         self._fail()
         answered_at = self.clock() + AHEAD
         self.clock.now += self.transit
-        return Changes(tuple(self.rows.values()), self.version, answered_at)
+        return RowChanges(tuple(self.rows.values()), self.version, answered_at)
 
     async def write(self, writes, expected=()):
         self.writes += 1
@@ -80,32 +80,32 @@
     """The versions known to one process, and its declaration times."""
 
     def __init__(self, store, clock):
-        self.beliefs = Beliefs(clock())
+        self.cluster_state = ClusterState(clock())
         self.clock = clock
         self.declaration_times = DeclarationTimes(
             store,
-            lambda model: self.beliefs.version_ages(model, WITHIN, clock()),
-            lambda: self.beliefs.undated_models(WITHIN, clock()),
-            self.beliefs.date_version,
+            lambda model: self.cluster_state.version_ages(model, WITHIN, clock()),
+            lambda: self.cluster_state.models_without_declaration_time(WITHIN, clock()),
+            self.cluster_state.record_declaration_time,
             lambda: 0,
             clock,
-            Events("vm", Clock(), lambda: 0.0),
+            Events("vm", HybridClock(), lambda: 0.0),
             random.Random(1),
         )
 
     def record_declared(self, number, ago=0.0):
         """Record that a version was declared just now."""
-        self.beliefs.name_version("m", number, self.clock() - ago)
+        self.cluster_state.declare_version("m", number, self.clock() - ago)
         self.declaration_times.request_publishing("m")
 
     def record_unknown_time(self, number):
         """Record a version with an unknown declaration time."""
         now = self.clock()
-        self.beliefs.name_version("m", number, now - WITHIN, False, now)
+        self.cluster_state.declare_version("m", number, now - WITHIN, False, now)
         self.declaration_times.request_lookup()
 
     def least_version(self):
-        return self.beliefs.least_version("m", WITHIN, self.clock())
+        return self.cluster_state.min_version("m", WITHIN, self.clock())
 
     def run(self, seconds=0.1):
         async def run():
@@ -171,9 +171,9 @@
     started = Process(store, clock)
     started.record_unknown_time(2)
     started.run()
-    (version,) = started.beliefs._versions["m"]
-    assert version.certain
-    assert declared_at - 0.8 - 0.01 <= version.since <= declared_at
+    (version,) = started.cluster_state._versions["m"]
+    assert version.declaration_time_known
+    assert declared_at - 0.8 - 0.01 <= version.allowed_from <= declared_at
 
 
 def test_too_slow_answer_is_not_used(store, clock):
@@ -213,7 +213,7 @@
     started.record_unknown_time(2)
     store.failures = 1
     publisher = Process(store, clock)
-    publisher.beliefs.name_version("m", 2, clock() - 1.0)
+    publisher.cluster_state.declare_version("m", 2, clock() - 1.0)
 
     async def run():
         lookup = asyncio.create_task(started.declaration_times.run_lookups())
@@ -252,14 +252,14 @@
 
     def overtake():
         store.before_write = lambda: None
-        fast.beliefs.name_version("m", 2, clock())
-        fast.beliefs.name_version("m", 3, clock())
+        fast.cluster_state.declare_version("m", 2, clock())
+        fast.cluster_state.declare_version("m", 3, clock())
         store.put("m", b'{"2": 6000.0, "3": 6000.0}')
 
     store.before_write = overtake
     slow.run(0.5)
     assert store.rows["m"].value == b'{"2": 6000.0, "3": 6000.0}'
-    assert slow.beliefs.newest_version("m") == 3
+    assert slow.cluster_state.newest_version("m") == 3
 
 
 def test_process_with_estimated_age_publishes_no_times(store, clock):
--- a/tests/beliefs/test_hearsay.py
+++ b/tests/cluster_state/test_gossip.py
@@ -6,10 +6,10 @@
 
 import pytest
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.hearsay import Hearsay, HearsayService
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.gossip import Gossip, GossipService
 from wasabideck_base.inner_limits import InnerServer
-from wasabideck_base.rows import Changes, Row
+from wasabideck_base.rows import Row, RowChanges
 from wasabideck_base.table_watch import TableWatch
 from wasabideck_policy.declarations import CONFIGURATION, Declaration
 from wasabideck_policy.membership import AGENT, ENTRY, Member
@@ -25,8 +25,8 @@
 
     async def start(self):
         loop = asyncio.get_running_loop()
-        clock = Clock()
-        self.hearsay = Hearsay(
+        clock = HybridClock()
+        self.gossip = Gossip(
             Member(self.vm, self.kind, "", "region"),
             Channels(clock),
             Events(self.vm, clock, lambda: 0.0),
@@ -36,7 +36,7 @@
             {"servers": self.watch(loop)},
             frozenset(["servers"]),
         )
-        self.server = InnerServer([HearsayService(self.hearsay)])
+        self.server = InnerServer([GossipService(self.gossip)])
         await self.server.start("127.0.0.1", 0)
         port = self.server._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -49,22 +49,22 @@
             lambda rows: None,
             lambda seconds: None,
             loop.time,
-            Events(self.vm, Clock(), lambda: 0.0),
+            Events(self.vm, HybridClock(), lambda: 0.0),
             random.Random(1),
         )
 
     def apply_rows(self, *rows, version):
         """Have its watch apply rows as if they came from the store."""
-        self.hearsay.tables["servers"]._apply(Changes(rows, version))
+        self.gossip.tables["servers"]._apply(RowChanges(rows, version))
 
     def add_members(self, *others):
         for other in others:
             member = Member(other.vm, other.kind, other.address, "region")
-            self.hearsay.members[other.vm] = member
+            self.gossip.members[other.vm] = member
 
     def stop(self):
         self.server.close()
-        self.hearsay.channels.close()
+        self.gossip.channels.close()
 
 
 @pytest.fixture
@@ -95,9 +95,9 @@
     async def scenario():
         refused.add_members(connected)
         newer = Declaration(CONFIGURATION, 7, b"without the key")
-        connected.hearsay.merge([newer], "store")
-        refused.hearsay.merge([Declaration(CONFIGURATION, 6, b"with it")], "store")
-        await refused.hearsay.sync_with_one()
+        connected.gossip.merge([newer], "store")
+        refused.gossip.merge([Declaration(CONFIGURATION, 6, b"with it")], "store")
+        await refused.gossip.sync_with_one()
         assert refused.declarations[-1] == newer
 
     run_with(scenario, connected, refused)
@@ -108,9 +108,9 @@
 
     async def scenario():
         new.add_members(old)
-        old.hearsay.merge([Declaration(CONFIGURATION, 6, b"old")], "store")
-        new.hearsay.merge([Declaration(CONFIGURATION, 7, b"new")], "store")
-        await new.hearsay.sync_with_one()
+        old.gossip.merge([Declaration(CONFIGURATION, 6, b"old")], "store")
+        new.gossip.merge([Declaration(CONFIGURATION, 7, b"new")], "store")
+        await new.gossip.sync_with_one()
         assert [d.number for d in new.declarations] == [7]
 
     run_with(scenario, old, new)
@@ -122,7 +122,7 @@
     async def scenario():
         entry.add_members(agent)
         declared = Declaration("weights/m", 2, b"{}")
-        await entry.hearsay.notify_agents([declared])
+        await entry.gossip.notify_agents([declared])
         assert agent.declarations == [declared]
 
     run_with(scenario, entry, agent)
@@ -134,13 +134,13 @@
 
     async def scenario():
         agent.add_members(entry)
-        agent.hearsay.merge([Declaration(CONFIGURATION, 1, b"one")], "store")
-        agent.hearsay.unwanted.add(CONFIGURATION)
-        entry.hearsay.merge([Declaration(CONFIGURATION, 2, b"two")], "store")
-        await agent.hearsay.sync_with_one()
+        agent.gossip.merge([Declaration(CONFIGURATION, 1, b"one")], "store")
+        agent.gossip.unwanted.add(CONFIGURATION)
+        entry.gossip.merge([Declaration(CONFIGURATION, 2, b"two")], "store")
+        await agent.gossip.sync_with_one()
         assert [d.number for d in agent.declarations] == [1]
-        agent.hearsay.unwanted.clear()
-        await agent.hearsay.sync_with_one()
+        agent.gossip.unwanted.clear()
+        await agent.gossip.sync_with_one()
         assert [d.number for d in agent.declarations] == [1, 2]
 
     run_with(scenario, entry, agent)
@@ -160,9 +160,9 @@
         removed = Row("servers", "i-2", b"", 10, removed=True)
         unresponsive.apply_rows(ready, other, version=7)
         connected.apply_rows(leaving, removed, version=12)
-        await unresponsive.hearsay.sync_with_one()
+        await unresponsive.gossip.sync_with_one()
         assert unresponsive.rows[-2:] == [leaving, removed]
-        await unresponsive.hearsay.sync_with_one()
+        await unresponsive.gossip.sync_with_one()
         assert len(unresponsive.rows) == 4
 
     run_with(scenario, unresponsive, connected)
@@ -172,9 +172,9 @@
     lone = Process("lone")
 
     async def scenario():
-        lone.hearsay.members["gone"] = Member("gone", ENTRY, "127.0.0.1:1", "region")
-        await lone.hearsay.sync_with_one()
-        assert lone.hearsay._choose_peer(lone.hearsay.clock()) is None
+        lone.gossip.members["gone"] = Member("gone", ENTRY, "127.0.0.1:1", "region")
+        await lone.gossip.sync_with_one()
+        assert lone.gossip._choose_peer(lone.gossip.clock()) is None
 
     run_with(scenario, lone)
 
@@ -185,14 +185,14 @@
     one, two, three = Process("one"), Process("two"), Process("three")
 
     async def scenario():
-        one.hearsay.quarantine.record("poison", "i-1/1", 0.0)
-        two.hearsay.quarantine.record("poison", "i-2/1", 0.0)
+        one.gossip.quarantine.record_crash("poison", "i-1/1", 0.0)
+        two.gossip.quarantine.record_crash("poison", "i-2/1", 0.0)
         one.add_members(two)
         three.add_members(one)
-        await one.hearsay.sync_with_one()
-        await three.hearsay.sync_with_one()
+        await one.gossip.sync_with_one()
+        await three.gossip.sync_with_one()
         for process in (one, two, three):
-            assert process.hearsay.quarantine.refused("poison", 1.0)
+            assert process.gossip.quarantine.is_quarantined("poison", 1.0)
 
     run_with(scenario, one, two, three)
 
@@ -205,10 +205,10 @@
 
     async def scenario():
         for number in range(200):
-            one.hearsay.quarantine.record(f"r{number}", "i-1/1", float(number))
+            one.gossip.quarantine.record_crash(f"r{number}", "i-1/1", float(number))
         two.add_members(one)
-        await two.hearsay.sync_with_one()
-        assert set(two.hearsay.quarantine.crashes) == {f"r{n}" for n in range(180, 200)}
+        await two.gossip.sync_with_one()
+        assert set(two.gossip.quarantine.crashes) == {f"r{n}" for n in range(180, 200)}
 
     run_with(scenario, one, two)
 
@@ -223,8 +223,8 @@
             pb.Entry(scope="weights/m", slot="declared", ticket=2, change=b"{}"),
         ]
         emitted = []
-        two.hearsay.events.listeners.append(lambda kind, fields: emitted.append(kind))
-        two.hearsay.handle_sync(pb.SyncRequest(vm="one", entries=entries))
+        two.gossip.events.listeners.append(lambda kind, fields: emitted.append(kind))
+        two.gossip.handle_sync(pb.SyncRequest(vm="one", entries=entries))
         assert [d.key for d in two.declarations] == ["weights/m"]
         assert "content.unreadable" in emitted
 
@@ -240,16 +240,16 @@
         entry.add_members(agent)
         for process in (entry, agent):
             known = [Declaration(CONFIGURATION, 7, b"all routes")]
-            process.hearsay.merge(known, "store")
+            process.gossip.merge(known, "store")
         replies = []
 
-        def record_reply(hearsay, req):
-            replies.append(handle_sync(hearsay, req))
+        def record_reply(gossip, req):
+            replies.append(handle_sync(gossip, req))
             return replies[-1]
 
-        handle_sync = Hearsay.handle_sync
-        monkeypatch.setattr(Hearsay, "handle_sync", record_reply)
-        await entry.hearsay.notify_agents([Declaration("weights/m", 2, b"{}")])
+        handle_sync = Gossip.handle_sync
+        monkeypatch.setattr(Gossip, "handle_sync", record_reply)
+        await entry.gossip.notify_agents([Declaration("weights/m", 2, b"{}")])
         assert [d.key for d in agent.declarations] == [CONFIGURATION, "weights/m"]
         assert [list(reply.entries) for reply in replies] == [[]]
 
@@ -272,12 +272,12 @@
 
     async def scenario():
         for process, number in ((agent, 1), (nearby, 1), (remote, 2)):
-            process.hearsay.merge([Declaration(CONFIGURATION, number, b"{}")], "store")
-        remote.hearsay.merge([Declaration("weights/m", 2, b"{}")], "store")
+            process.gossip.merge([Declaration(CONFIGURATION, number, b"{}")], "store")
+        remote.gossip.merge([Declaration("weights/m", 2, b"{}")], "store")
         agent.add_members(nearby)
-        await agent.hearsay.sync_with_one()
-        agent.hearsay.members = {"remote": remote_member(remote)}
-        await agent.hearsay.sync_with_one()
+        await agent.gossip.sync_with_one()
+        agent.gossip.members = {"remote": remote_member(remote)}
+        await agent.gossip.sync_with_one()
         declared = [(d.key, d.number) for d in agent.declarations]
         assert declared == [(CONFIGURATION, 1), ("weights/m", 2)]
 
@@ -289,14 +289,14 @@
     entry, nearby, remote = Process("entry"), Process("nearby"), Process("remote")
 
     async def scenario():
-        entry.hearsay.region_may_lag = lambda: region_may_lag
+        entry.gossip.region_may_lag = lambda: region_may_lag
         for process, number in ((entry, 1), (nearby, 1), (remote, 2)):
-            process.hearsay.merge([Declaration(CONFIGURATION, number, b"{}")], "store")
+            process.gossip.merge([Declaration(CONFIGURATION, number, b"{}")], "store")
         if nearby_replied:
             entry.add_members(nearby)
-            await entry.hearsay.sync_with_one()
-        entry.hearsay.members = {"remote": remote_member(remote)}
-        await entry.hearsay.sync_with_one()
+            await entry.gossip.sync_with_one()
+        entry.gossip.members = {"remote": remote_member(remote)}
+        await entry.gossip.sync_with_one()
 
     run_with(scenario, entry, nearby, remote)
     return [d.number for d in entry.declarations]
--- a/tests/beliefs/test_told.py
+++ b/tests/cluster_state/test_gossip_messages.py
@@ -5,9 +5,14 @@
 
 import orjson
 import pytest
-from wasabideck_base import packing
-from wasabideck_base.packing import MalformedContent, unpacked
-from wasabideck_base.told import COMPRESSED, DECLARED, declaration_entry, declaration_of
+from wasabideck_base import compression
+from wasabideck_base.compression import MalformedContent, decompress
+from wasabideck_base.gossip_messages import (
+    COMPRESSED,
+    DECLARED,
+    declaration_entry,
+    declaration_of,
+)
 from wasabideck_policy.declarations import CONFIGURATION, Declaration
 from wasabideck_wire import inner_pb2 as pb
 
@@ -59,7 +64,7 @@
 
 def test_content_that_decompresses_beyond_limit_is_refused(monkeypatch):
     # A few KB that decompress to gigabytes exhaust the process's memory.
-    monkeypatch.setattr(packing, "MOST_CONTENT_BYTES", 1000)
-    assert unpacked("k", zlib.compress(b"x" * 1000)) == b"x" * 1000
+    monkeypatch.setattr(compression, "MAX_CONTENT_BYTES", 1000)
+    assert decompress("k", zlib.compress(b"x" * 1000)) == b"x" * 1000
     with pytest.raises(MalformedContent):
-        unpacked("k", zlib.compress(b"x" * 1001))
+        decompress("k", zlib.compress(b"x" * 1001))
--- a/tests/beliefs/test_fresh_share.py
+++ b/tests/cluster_state/test_in_time_share.py
@@ -2,7 +2,7 @@
 
 import random
 
-from wasabideck_policy.fresh_share import FreshShare
+from wasabideck_policy.in_time_share import InTimeShare
 
 RATE = 10.0
 GOAL = 0.4
@@ -12,7 +12,7 @@
 CALM = ((16.0, 0.7 * RATE, True),)
 
 
-class AllAhead(FreshShare):
+class AllAhead(InTimeShare):
     """Sends every request ahead, which amounts to first come, first served."""
 
     def draw(self, rng):
@@ -57,14 +57,14 @@
     # For six seconds the traffic rises to 1.4 times the engines' rate. First come,
     # first served, the queue of those seconds makes all following requests late.
     assert in_time(AllAhead, OVERLOAD) < 0.3
-    assert in_time(FreshShare, OVERLOAD) > 0.6
+    assert in_time(InTimeShare, OVERLOAD) > 0.6
 
 
 def test_after_a_swap_new_requests_are_in_time_despite_the_backlog():
     # All servers swap their weights for two seconds; the backlog is late in any case.
     assert in_time(AllAhead, SWAP) < 0.3
-    assert in_time(FreshShare, SWAP) > 0.6
+    assert in_time(InTimeShare, SWAP) > 0.6
 
 
 def test_below_the_engines_rate_no_request_is_delayed():
-    assert in_time(FreshShare, CALM) > in_time(AllAhead, CALM) - 0.02
+    assert in_time(InTimeShare, CALM) > in_time(AllAhead, CALM) - 0.02
--- a/tests/beliefs/test_placement.py
+++ b/tests/cluster_state/test_placement.py
@@ -3,46 +3,46 @@
 import random
 
 import pytest
-from wasabideck_policy.backends import Backend, Listed
-from wasabideck_policy.engine_news import EngineNews
+from wasabideck_policy.backends import Backend, ListedServer
+from wasabideck_policy.engine_report import EngineReport
 from wasabideck_policy.placement import (
-    FULL_PART,
     LOCAL_PROBES,
-    Demand,
+    MAX_QUEUE_RATIO,
+    Requirements,
     Urgency,
-    choose,
-    choose_near,
+    choose_local_server,
+    choose_server,
 )
 
 NOW = 100.0
-DEMAND = Demand("dc", "m", 16)
+DEMAND = Requirements("dc", "m", 16)
 
 
 def engine(name, load, version=1, serving=True, ready_in=0.0, slots=16):
-    backend = Backend(Listed(name, "s", f"{name}:1", "dc", slots))
-    news = EngineNews(f"{name}:1", version, serving, load, 0, ready_in, 2)
-    backend.hear(news, NOW)
+    backend = Backend(ListedServer(name, "s", f"{name}:1", "dc", slots))
+    news = EngineReport(f"{name}:1", version, serving, load, 0, ready_in, 2)
+    backend.apply_report(news, NOW)
     return backend
 
 
 def place(backends, demand=DEMAND, seed=1):
-    return choose(backends, demand, NOW, random.Random(seed))
+    return choose_server(backends, demand, NOW, random.Random(seed))
 
 
 def test_the_less_loaded_of_the_drawn_servers_is_chosen():
     found = place([engine("a", 12), engine("b", 3)])
     assert found.backend.server == "b"
-    assert found.urgency == Urgency.FRESH
+    assert found.urgency == Urgency.IN_TIME
 
 
 def test_a_swapping_server_gets_no_request_and_its_delay_is_returned():
     found = place([engine("a", 0, serving=False, ready_in=0.9)])
     assert found.backend is None
-    assert found.back_in == pytest.approx(0.9)
+    assert found.ready_in == pytest.approx(0.9)
 
 
 def test_expired_weights_serve_no_request():
-    demand = Demand("dc", "m", 16, least_version=2)
+    demand = Requirements("dc", "m", 16, min_version=2)
     found = place([engine("a", 0), engine("b", 15, version=2)], demand)
     assert found.backend.server == "b"
 
@@ -51,7 +51,7 @@
     # A draft sent to a full server with the previous version starts two seconds later,
     # when that version has expired: it would be written by weights that no ticket
     # declares any more.
-    demand = Demand("dc", "m", 16, min_queued_version=2)
+    demand = Requirements("dc", "m", 16, min_queued_version=2)
     assert place([engine("a", 15)], demand).backend is None
     assert place([engine("a", 5)], demand).backend.server == "a"
 
@@ -61,22 +61,22 @@
     # requests may wait there. When it counted as ready immediately, each entry polled
     # without a delay for up to 1.2 s, until all sent to the first server that seemed
     # idle.
-    demand = Demand("dc", "m", 16, min_queued_version=2)
+    demand = Requirements("dc", "m", 16, min_queued_version=2)
     found = place([engine("a", 15, ready_in=0.8)], demand)
     assert found.backend is None
-    assert found.back_in == pytest.approx(0.8)
+    assert found.ready_in == pytest.approx(0.8)
 
 
 def test_a_request_that_is_not_sent_ahead_waits_behind_the_others():
-    behind = Demand("dc", "m", 16, ahead=False)
+    behind = Requirements("dc", "m", 16, sent_ahead=False)
     assert place([engine("a", 17)], behind).urgency == Urgency.LATE
-    assert place([engine("a", 5)], behind).urgency == Urgency.FRESH
+    assert place([engine("a", 5)], behind).urgency == Urgency.IN_TIME
 
 
 def test_a_choice_reports_that_all_servers_are_full():
     found = place([engine("a", 30), engine("b", 40)])
     assert found.backend is None
-    assert found.full
+    assert found.all_full
 
 
 def test_a_response_does_not_renew_an_old_agent_report():
@@ -85,8 +85,8 @@
     # engine.
     backend = engine("a", 3, serving=False, ready_in=0.5)
     backend.versions["m"] = 1
-    backend.news_at = NOW - 5.0
-    backend.told_at = NOW
+    backend.reported_at = NOW - 5.0
+    backend.load_reported_at = NOW
     assert place([backend]).backend is backend
 
 
@@ -108,9 +108,9 @@
     )
     later = NOW + 2.0
     for backend in others:
-        backend.hear(backend.news, later)
+        backend.apply_report(backend.report, later)
     for seed in range(20):
-        found = choose([suspended, *others], DEMAND, later, random.Random(seed))
+        found = choose_server([suspended, *others], DEMAND, later, random.Random(seed))
         assert found.backend is not suspended
 
 
@@ -120,13 +120,17 @@
     # counted as unresponsive again.
     suspended, other = engine_with_request("a", 8, NOW), engine("b", 14)
     later = NOW + 2.0
-    other.hear(other.news, later)
+    other.apply_report(other.report, later)
     suspended.in_progress = 0
     assert (
-        choose([suspended, other], DEMAND, later, random.Random(1)).backend is suspended
+        choose_server([suspended, other], DEMAND, later, random.Random(1)).backend
+        is suspended
+    )
+    suspended.add_request(later)
+    assert (
+        choose_server([suspended, other], DEMAND, later, random.Random(1)).backend
+        is other
     )
-    suspended.begin(later)
-    assert choose([suspended, other], DEMAND, later, random.Random(1)).backend is other
 
 
 @pytest.mark.parametrize("sign", ["byte", "news", "none-due"])
@@ -139,12 +143,12 @@
         "a", 3, later - 0.05 if sign == "none-due" else NOW
     )
     other = engine("b", 14)
-    other.hear(other.news, later)
+    other.apply_report(other.report, later)
     if sign == "byte":
         responsive.heard_at = later - 0.1
     elif sign == "news":
-        responsive.hear(responsive.news, later - 0.1)
-    found = choose([responsive, other], DEMAND, later, random.Random(1))
+        responsive.apply_report(responsive.report, later - 0.1)
+    found = choose_server([responsive, other], DEMAND, later, random.Random(1))
     assert found.backend is responsive
 
 
@@ -152,7 +156,7 @@
     # An entry's own link stalls for a second: no data is received from any server, and
     # no server is at fault.
     servers = [engine_with_request(name, 8, NOW) for name in "abc"]
-    found = choose(servers, DEMAND, NOW + 2.0, random.Random(1))
+    found = choose_server(servers, DEMAND, NOW + 2.0, random.Random(1))
     assert found.backend in servers
 
 
@@ -161,18 +165,20 @@
     # and each sent it draft after draft until the next report: half of them were
     # refused there, and the others queued for seconds.
     entries, free_slots = 20, 12
-    available = Listed("open", "s", "open:1", "dc", 16)
+    available = ListedServer("open", "s", "open:1", "dc", 16)
     sent = 0
     for seed in range(entries):
         mine = [Backend(available), *(engine(f"full-{n}", 40) for n in range(4))]
-        mine[0].hear(EngineNews("open:1", 1, True, 16 - free_slots, 0), NOW)
-        demand = Demand("dc", "m", 16, entries=entries)
+        mine[0].apply_report(EngineReport("open:1", 1, True, 16 - free_slots, 0), NOW)
+        demand = Requirements("dc", "m", 16, entries=entries)
         rng = random.Random(seed)
-        while (place := choose(mine, demand, NOW + 0.1, rng)).backend is not None:
-            place.backend.begin(NOW + 0.1)
+        while (
+            place := choose_server(mine, demand, NOW + 0.1, rng)
+        ).backend is not None:
+            place.backend.add_request(NOW + 0.1)
             sent += 1
     # An engine of 16 slots may have a queue in addition.
-    room = free_slots + 16 * FULL_PART
+    room = free_slots + 16 * MAX_QUEUE_RATIO
     assert sent <= 4 * room
 
 
@@ -182,10 +188,13 @@
     backend = engine("a", 3)
     for _ in range(6):
         backend.begin(NOW)
-    demand = Demand("dc", "m", 16, entries=20)
-    assert choose([backend], demand, NOW, random.Random(1)).backend is None
-    backend.hear(EngineNews("a:1", 1, True, 8, 0), NOW + 0.25)
-    assert choose([backend], demand, NOW + 0.25, random.Random(1)).backend is backend
+    demand = Requirements("dc", "m", 16, entries=20)
+    assert choose_server([backend], demand, NOW, random.Random(1)).backend is None
+    backend.apply_report(EngineReport("a:1", 1, True, 8, 0), NOW + 0.25)
+    assert (
+        choose_server([backend], demand, NOW + 0.25, random.Random(1)).backend
+        is backend
+    )
 
 
 def test_a_load_in_a_response_replaces_assumed_requests_without_an_agent():
@@ -198,9 +207,12 @@
     for n in range(12):
         backend.begin(later + n)
         backend.in_progress -= 1
-        backend.hear_load(4, later + n)
-    demand = Demand("dc", "m", 16, entries=20)
-    assert choose([backend], demand, later + 12, random.Random(1)).backend is backend
+        backend.apply_load(4, later + n)
+    demand = Requirements("dc", "m", 16, entries=20)
+    assert (
+        choose_server([backend], demand, later + 12, random.Random(1)).backend
+        is backend
+    )
 
 
 def test_unread_prompts_count_as_additional_load():
@@ -208,34 +220,41 @@
     # it read 17 prompts one after the other, 50 ms each, before the first event of any.
     reading, writing = engine("reading", 4), engine("writing", 7)
     reading.unread = {"a", "b", "c"}
-    place = choose([reading, writing], Demand("dc", "m", 16), NOW, random.Random(1))
+    place = choose_server(
+        [reading, writing], Requirements("dc", "m", 16), NOW, random.Random(1)
+    )
     assert place.backend is writing
 
 
 def test_a_request_that_would_wait_for_two_slots_is_not_sent_ahead():
     # Requests sent ahead to a server with seven waiting requests were all late.
     server = engine("full", 20)
-    place = choose([server], Demand("dc", "m", 16, ahead=True), NOW, random.Random(1))
+    place = choose_server(
+        [server], Requirements("dc", "m", 16, sent_ahead=True), NOW, random.Random(1)
+    )
     assert place.urgency == Urgency.LATE
-    assert not place.free
+    assert not place.has_free_slot
 
 
 def test_the_rest_of_a_started_stream_is_always_sent_ahead():
     server = engine("full", 20)
-    demand = Demand("dc", "m", 16, late=True, begun=True)
-    assert choose([server], demand, NOW, random.Random(1)).urgency == Urgency.FRESH
+    demand = Requirements("dc", "m", 16, late=True, started=True)
+    assert (
+        choose_server([server], demand, NOW, random.Random(1)).urgency
+        == Urgency.IN_TIME
+    )
 
 
 def remote_engine(name, load):
-    backend = Backend(Listed(name, "s", f"{name}:1", "elsewhere", 16))
-    backend.hear(EngineNews(f"{name}:1", 1, True, load, 0, 0.0, 2), NOW)
+    backend = Backend(ListedServer(name, "s", f"{name}:1", "elsewhere", 16))
+    backend.apply_report(EngineReport(f"{name}:1", 1, True, load, 0, 0.0, 2), NOW)
     return backend
 
 
 def test_a_remote_server_without_a_report_does_not_count_as_idle():
     # An agent reports only to some of the remote entries. The others knew only their
     # own requests on its server: it seemed idle while its engine was full.
-    unreported = Backend(Listed("untold", "s", "untold:1", "elsewhere", 16))
+    unreported = Backend(ListedServer("untold", "s", "untold:1", "elsewhere", 16))
     unreported.versions["m"] = 1
     for seed in range(20):
         assert place([engine("a", 14), unreported], seed=seed).backend is not unreported
@@ -249,27 +268,27 @@
     servers = [engine(f"s-{n}", 2, slots=8) for n in range(136)]
     for server in servers:
         server.begin(NOW)
-    found = place(servers, Demand("dc", "m", 16, entries=36))
-    assert found.free
-    assert found.urgency == Urgency.FRESH
+    found = place(servers, Requirements("dc", "m", 16, entries=36))
+    assert found.has_free_slot
+    assert found.urgency == Urgency.IN_TIME
 
 
 def test_with_one_available_server_each_entry_sends_few_requests():
     # All other servers are full, and 36 entries learn at once that one has free slots.
     full = [engine(f"s-{n}", 12, slots=8) for n in range(9)]
     servers = [engine("open", 4, slots=8), *full]
-    demand, sent = Demand("dc", "m", 16, entries=36), 0
+    demand, sent = Requirements("dc", "m", 16, entries=36), 0
     while (found := place(servers, demand)).backend is not None and sent < 50:
         found.backend.begin(NOW)
         sent += 1
     assert sent == 1
 
 
-LOCAL_DEMAND = Demand("dc", "m", 16, entries=36, near_entries=7)
+LOCAL_DEMAND = Requirements("dc", "m", 16, entries=36, local_entries=7)
 
 
 def local_place(local, connected=(), demand=LOCAL_DEMAND, seed=1):
-    return choose_near(local, connected, demand, NOW, random.Random(seed))
+    return choose_local_server(local, connected, demand, NOW, random.Random(seed))
 
 
 def test_a_connected_server_with_free_slots_is_preferred():
@@ -298,7 +317,7 @@
     refused.full_until = NOW + 1.0
     old = engine("old", 0)
     assert local_place([swapping, refused]) is None
-    assert local_place([old], demand=Demand("dc", "m", 16, least_version=2)) is None
+    assert local_place([old], demand=Requirements("dc", "m", 16, min_version=2)) is None
 
 
 def test_a_local_choice_checks_a_bounded_number_of_servers():
--- a/tests/beliefs/test_readers.py
+++ b/tests/cluster_state/test_reader_selection.py
@@ -2,11 +2,15 @@
 
 import pytest
 from wasabideck_policy.membership import AGENT, ENTRY, Member
-from wasabideck_policy.readers import COVERED_SECONDS, PROBE_INTERVAL_SECONDS, Readers
-from wasabideck_policy.rendezvous import rank
+from wasabideck_policy.reader_selection import (
+    CONFIRMATION_VALID_SECONDS,
+    PROBE_INTERVAL_SECONDS,
+    RegionReaderView,
+)
+from wasabideck_policy.rendezvous import rank_vms
 
 NOW = 100.0
-RANKED = rank("r", [f"e{n}" for n in range(6)])
+RANKED = rank_vms("r", [f"e{n}" for n in range(6)])
 
 
 @pytest.fixture
@@ -17,13 +21,13 @@
 
 @pytest.fixture
 def follower():
-    return Readers(RANKED[4], "r")
+    return RegionReaderView(RANKED[4], "r")
 
 
 def test_the_first_two_in_rank_read_for_the_others(members):
     # Without a reader a region would learn of changes late. Six readers would saturate
     # its link.
-    readers = [vm for vm in RANKED if Readers(vm, "r").reads(members)]
+    readers = [vm for vm in RANKED if RegionReaderView(vm, "r").is_reader(members)]
     assert readers == RANKED[:2]
 
 
@@ -31,44 +35,44 @@
 def test_each_entry_of_a_small_region_reads(size):
     # Otherwise one of two entries would rely on a single reader.
     members = [Member(vm, ENTRY, "", "r") for vm in RANKED[:size]]
-    assert all(Readers(vm, "r").reads(members) for vm in RANKED[:size])
+    assert all(RegionReaderView(vm, "r").is_reader(members) for vm in RANKED[:size])
 
 
 def test_an_entry_without_known_members_reads():
     # An entry that starts while the list of members cannot be read would otherwise
     # receive no changes.
-    assert Readers("e0", "r").reads([])
+    assert RegionReaderView("e0", "r").is_reader([])
 
 
 def test_the_next_in_rank_replaces_an_unresponsive_reader(members, follower):
     # Otherwise a reader that is lost for good would leave its region with only one.
-    follower.silent(RANKED[0], NOW)
+    follower.record_unresponsive(RANKED[0], NOW)
     assert follower.readers(members) == RANKED[1:3]
-    assert follower.asked(members, NOW) == RANKED[1:3]
+    assert follower.readers_to_query(members, NOW) == RANKED[1:3]
     later = NOW + PROBE_INTERVAL_SECONDS
-    assert sorted(follower.asked(members, later)) == sorted(RANKED[:3])
-    follower.refuses(RANKED[0])
+    assert sorted(follower.readers_to_query(members, later)) == sorted(RANKED[:3])
+    follower.record_not_following(RANKED[0])
     assert follower.readers(members) == RANKED[:2]
 
 
 def test_a_reader_probes_only_unresponsive_entries_before_it(members):
     # Otherwise an entry that replaced a reader would not notice that the reader
     # responds again, and would continue to read each configuration as a third one.
-    third = Readers(RANKED[2], "r")
-    third.silent(RANKED[0], NOW)
-    assert third.reads(members)
-    assert third.asked(members, NOW) == []
-    assert third.asked(members, NOW + PROBE_INTERVAL_SECONDS) == [RANKED[0]]
-    third.follows(RANKED[0], NOW + PROBE_INTERVAL_SECONDS)
-    assert not third.reads(members)
+    third = RegionReaderView(RANKED[2], "r")
+    third.record_unresponsive(RANKED[0], NOW)
+    assert third.is_reader(members)
+    assert third.readers_to_query(members, NOW) == []
+    assert third.readers_to_query(members, NOW + PROBE_INTERVAL_SECONDS) == [RANKED[0]]
+    third.record_follows(RANKED[0], NOW + PROBE_INTERVAL_SECONDS)
+    assert not third.is_reader(members)
 
 
 def test_a_confirmation_expires_after_a_short_time(follower):
     # Otherwise the followers of suspended readers would not query the store.
     follower.follows(RANKED[0], NOW)
-    assert follower.covered(NOW + COVERED_SECONDS - 0.01)
-    assert not follower.covered(NOW + COVERED_SECONDS + 0.01)
-    assert follower.last_word == NOW
+    assert follower.covered(NOW + CONFIRMATION_VALID_SECONDS - 0.01)
+    assert not follower.covered(NOW + CONFIRMATION_VALID_SECONDS + 0.01)
+    assert follower.last_confirmed_at == NOW
 
 
 @pytest.mark.parametrize("lost", ["refuses", "silent"])
@@ -77,7 +81,10 @@
     # reader.
     follower.follows(RANKED[0], NOW)
     follower.follows(RANKED[1], NOW)
-    lose = {"refuses": follower.refuses, "silent": lambda vm: follower.silent(vm, NOW)}
+    lose = {
+        "refuses": follower.record_not_following,
+        "silent": lambda vm: follower.record_unresponsive(vm, NOW),
+    }
     lose[lost](RANKED[0])
     assert follower.covered(NOW)
     lose[lost](RANKED[1])
@@ -86,6 +93,10 @@
 
 def test_each_follower_is_notified_by_one_reader(members):
     # Notifications by both readers would take twice the bytes on the readers' links.
-    notified = [vm for one in RANKED[:2] for vm in Readers(one, "r").told(members)]
+    notified = [
+        vm
+        for one in RANKED[:2]
+        for vm in RegionReaderView(one, "r").followers_to_notify(members)
+    ]
     assert sorted(notified) == sorted(RANKED[2:])
-    assert Readers(RANKED[3], "r").told(members) == []
+    assert RegionReaderView(RANKED[3], "r").followers_to_notify(members) == []
--- a/tests/beliefs/test_region_readers.py
+++ b/tests/cluster_state/test_region_readers.py
@@ -3,11 +3,11 @@
 import asyncio
 
 import pytest
-from region import REGION, run_region, wait_until
+from region_of_entries import REGION, run_region, wait_until
 from wasabideck_base import region_readers
 from wasabideck_policy.declarations import weights_key
-from wasabideck_policy.readers import LEAST_ENTRIES
-from wasabideck_policy.rendezvous import rank
+from wasabideck_policy.reader_selection import MIN_ENTRIES_FOR_SHARING
+from wasabideck_policy.rendezvous import rank_vms
 
 # Time for entries that have read the table to find out which of them follow it.
 SETTLED_SECONDS = 0.8
@@ -24,12 +24,12 @@
 
     def run(scenario, size=6):
         async def settled(store, entries):
-            ranked = rank(REGION, [e.vm for e in entries])
+            ranked = rank_vms(REGION, [e.vm for e in entries])
             entries.sort(key=lambda entry: ranked.index(entry.vm))
             readers, followers = entries[:2], entries[2:]
-            if size >= LEAST_ENTRIES:
+            if size >= MIN_ENTRIES_FOR_SHARING:
                 await wait_until(
-                    lambda: all(e.believer.readers.covered for e in followers)
+                    lambda: all(e.state_sync.readers.covered for e in followers)
                 )
             else:
                 await asyncio.sleep(SETTLED_SECONDS)
@@ -46,12 +46,12 @@
 
 def positions(entries):
     """Return the store versions that the entries' copies of the table reflect."""
-    return [entry.believer.operator_watch.version for entry in entries]
+    return [entry.state_sync.operator_watch.version for entry in entries]
 
 
 def ages(entry):
     """Return the ages in seconds of versions as the entry would report them."""
-    return entry.believer._ages_of(KEY)
+    return entry.state_sync._ages_of(KEY)
 
 
 def test_six_entries_read_a_configuration_twice(region):
@@ -87,8 +87,8 @@
 
 def cut_off(entry):
     entry.store.refused.add(entry.vm)
-    entry.believer.readers._watch_task.cancel()
-    entry.believer.readers._watch_task = None
+    entry.state_sync.readers._watch_task.cancel()
+    entry.state_sync.readers._watch_task = None
 
 
 def with_unresponsive_store(entry):
@@ -144,7 +144,9 @@
         for reader in readers:
             cut_off(reader)
         calls = [len(f.process_store.follows) for f in followers]
-        await wait_until(lambda: not any(f.believer.readers.covered for f in followers))
+        await wait_until(
+            lambda: not any(f.state_sync.readers.covered for f in followers)
+        )
         await wait_until(
             lambda: all(
                 len(f.process_store.follows) > n
@@ -172,11 +174,11 @@
 
 def test_change_with_lost_notification_is_picked_up(region, monkeypatch):
     # The readers' calls to their followers are aborted, and are not repeated.
-    async def discard(hearsay, declarations, addresses):
+    async def discard(gossip, declarations, addresses):
         pass
 
     async def scenario(store, readers, followers):
-        monkeypatch.setattr(type(readers[0].believer.hearsay), "push", discard)
+        monkeypatch.setattr(type(readers[0].state_sync.gossip), "push", discard)
         store.configure(2)
         duration = await wait_until(lambda: numbers(followers) == [2] * 4)
         assert duration < 4 * region_readers.POLL_INTERVAL_SECONDS
@@ -205,14 +207,14 @@
         monkeypatch.setattr(region_readers, "MAX_LAG_SECONDS", 0.3)
         for reader in readers:
             store.unresponsive.add(reader.vm)
-            reader.believer.readers._watch_task.cancel()
-            reader.believer.readers._watch_task = asyncio.create_task(
+            reader.state_sync.readers._watch_task.cancel()
+            reader.state_sync.readers._watch_task = asyncio.create_task(
                 asyncio.Event().wait()
             )
         store.configure(2)
         await asyncio.sleep(0.2)
         assert numbers(followers) == [1] * 4
-        followers[0].believer.operator_watch.note_newer_row(store.version)
+        followers[0].state_sync.operator_watch.note_newer_row(store.version)
         duration = await wait_until(lambda: followers[0].number == 2)
         assert duration < 0.3 + DETECTED_SECONDS
         assert (
@@ -234,8 +236,10 @@
         position = store.version
         await wait_until(lambda: positions(readers) == [position] * 2)
         since = asyncio.get_running_loop().time()
-        readers_seen = [f.believer.readers.readers for f in followers]
-        await wait_until(lambda: all(seen.last_word > since for seen in readers_seen))
+        readers_seen = [f.state_sync.readers.readers for f in followers]
+        await wait_until(
+            lambda: all(seen.last_confirmed_at > since for seen in readers_seen)
+        )
         store.put("other", "second", b"")
         assert positions(readers) == [position] * 2
         assert store.version == position + 1 > whole + 1
@@ -253,7 +257,7 @@
         assert {after for follows in tried() for after in follows} == {position}
         store.refused = set()
         store.declare_version(3)
-        states = [f.believer.beliefs for f in followers]
+        states = [f.state_sync.cluster_state for f in followers]
         await wait_until(lambda: all(b.newest_version("m") == 3 for b in states))
         assert len(store.recipients_of("config", whole)) == 2
 
@@ -264,7 +268,7 @@
     # Otherwise draft requests would go to expired weights.
     async def scenario(store, readers, followers):
         store.declare_version(2)
-        states = [f.believer.beliefs for f in followers]
+        states = [f.state_sync.cluster_state for f in followers]
         await wait_until(lambda: all(b.newest_version("m") == 2 for b in states))
         await asyncio.sleep(2.5 * region_readers.POLL_INTERVAL_SECONDS)
         oldest = max(ages(reader)[2] for reader in readers)
@@ -280,10 +284,10 @@
     async def scenario(store, readers, followers):
         now = asyncio.get_running_loop().time
         for reader in readers:
-            reader.believer.beliefs.name_version("m", 2, now(), False)
+            reader.state_sync.cluster_state.declare_version("m", 2, now(), False)
         declared_at = now()
         store.declare_version(3)
-        states = [f.believer.beliefs for f in followers]
+        states = [f.state_sync.cluster_state for f in followers]
         await wait_until(lambda: all(b.newest_version("m") == 3 for b in states))
         assert all(ages(reader) == {} for reader in readers)
         for follower in followers:
@@ -302,7 +306,7 @@
             reader.suspend()
         declared_at = now()
         store.declare_version(2)
-        states = [f.believer.beliefs for f in followers]
+        states = [f.state_sync.cluster_state for f in followers]
         await wait_until(lambda: all(b.newest_version("m") == 2 for b in states))
         for follower in followers:
             assert ages(follower)[2] >= now() - declared_at
@@ -319,7 +323,7 @@
             with_unresponsive_store(reader)
         declared_at = now()
         store.declare_version(2)
-        states = [f.believer.beliefs for f in followers]
+        states = [f.state_sync.cluster_state for f in followers]
         await wait_until(lambda: all(b.newest_version("m") == 2 for b in states))
         for follower in followers:
             assert ages(follower)[2] >= now() - declared_at
@@ -332,15 +336,15 @@
     # declared long ago would count as new again.
     async def scenario(store, readers, followers):
         store.declare_version(2)
-        follower = followers[0].believer
-        await wait_until(lambda: follower.beliefs.newest_version("m") == 2)
+        follower = followers[0].state_sync
+        await wait_until(lambda: follower.cluster_state.newest_version("m") == 2)
         await asyncio.sleep(2.5 * region_readers.POLL_INTERVAL_SECONDS)
         now = asyncio.get_running_loop().time()
-        follower.beliefs._versions["m"][-1].certain = False
-        follower.beliefs._versions["m"][-1].since = now - 7.0
+        follower.cluster_state._versions["m"][-1].declaration_time_known = False
+        follower.cluster_state._versions["m"][-1].since = now - 7.0
         follower.operator_watch._needs_full_read = True
         await follower.operator_watch.step()
-        assert follower.beliefs._versions["m"][-1].since == now - 7.0
+        assert follower.cluster_state._versions["m"][-1].since == now - 7.0
 
     region(scenario)
 
@@ -348,12 +352,12 @@
 def test_covered_entry_is_not_cut_off(region):
     # Otherwise it would reply 503 to unknown requests, and poll five times a second.
     async def scenario(store, readers, followers):
-        follower = followers[0].believer
+        follower = followers[0].state_sync
         follower.operator_watch._failures = 1
         assert not follower._is_cut_off()
         await asyncio.sleep(1.3)
         now = asyncio.get_running_loop().time()
-        assert now - follower.beliefs.heard_at < 1.5
+        assert now - follower.cluster_state.heard_at < 1.5
 
     region(scenario)
 
@@ -361,7 +365,7 @@
 def test_terminating_entry_starts_no_call(region, monkeypatch):
     # The reply to a poll arrived after the shutdown, and started a call that never
     # terminated.
-    async def ends_late(hearsay, address, table):
+    async def ends_late(gossip, address, table):
         try:
             await asyncio.Event().wait()
         except asyncio.CancelledError:
@@ -369,14 +373,14 @@
 
     async def scenario(store, readers, followers):
         follower = followers[0]
-        monkeypatch.setattr(type(follower.believer.hearsay), "poll_reader", ends_late)
+        monkeypatch.setattr(type(follower.state_sync.gossip), "poll_reader", ends_late)
         await asyncio.sleep(2 * region_readers.POLL_INTERVAL_SECONDS)
-        assert follower.believer.readers.covered
+        assert follower.state_sync.readers.covered
         follower.suspend()
         await asyncio.gather(*follower.tasks, return_exceptions=True)
-        follower.believer.readers.readers.refuses(readers[0].vm)
-        follower.believer.readers.readers.refuses(readers[1].vm)
+        follower.state_sync.readers.readers.record_not_following(readers[0].vm)
+        follower.state_sync.readers.readers.record_not_following(readers[1].vm)
         await asyncio.sleep(0.05)
-        assert follower.believer.readers._watch_task is None
+        assert follower.state_sync.readers._watch_task is None
 
     region(scenario)
--- a/tests/beliefs/test_retry_share.py
+++ b/tests/cluster_state/test_retry_limit.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wasabideck_policy.retry_share import RetryShare
+from wasabideck_policy.retry_limit import RetryLimit
 
 RATIO, SLACK, WINDOW, ENTRIES = 0.2, 20.0, 10.0, 4
 
@@ -17,14 +17,14 @@
 def test_all_entries_together_stay_within_the_limit(steps):
     # A service fails, and every entry would retry each request once: the retries of all
     # entries together must not become a retry storm that prevents the recovery.
-    shares = [RetryShare(RATIO, SLACK, WINDOW) for _ in range(ENTRIES)]
+    shares = [RetryLimit(RATIO, SLACK, WINDOW) for _ in range(ENTRIES)]
     now, requests, retries = 0.0, [], []
     for entry, is_retry, pause in steps:
         now += pause
         if not is_retry:
             shares[entry].request(now)
             requests.append(now)
-        elif shares[entry].may_repeat(now, ENTRIES):
+        elif shares[entry].try_spend(now, ENTRIES):
             retries.append(now)
             start = now - WINDOW
             counted = sum(t >= start - WINDOW for t in requests)
@@ -33,23 +33,23 @@
 
 
 def test_a_single_entry_may_use_the_whole_allowance():
-    share = RetryShare(RATIO, SLACK, WINDOW)
-    assert sum(share.may_repeat(0.0, 1) for _ in range(100)) == 14
+    share = RetryLimit(RATIO, SLACK, WINDOW)
+    assert sum(share.try_spend(0.0, 1) for _ in range(100)) == 14
 
 
 def test_the_allowance_is_renewed_after_the_window():
-    share = RetryShare(RATIO, SLACK, WINDOW)
-    while share.may_repeat(0.0, 1):
+    share = RetryLimit(RATIO, SLACK, WINDOW)
+    while share.try_spend(0.0, 1):
         pass
-    assert share.may_repeat(WINDOW + 1.0, 1)
+    assert share.try_spend(WINDOW + 1.0, 1)
 
 
 def test_has_room_spends_nothing():
-    share = RetryShare(0.2, 10.0, 10.0)
+    share = RetryLimit(0.2, 10.0, 10.0)
     for _ in range(50):
-        assert share.has_room(0.0, 1)
+        assert share.allows_retry(0.0, 1)
     spent = 0
-    while share.may_repeat(0.0, 1):
+    while share.try_spend(0.0, 1):
         spent += 1
     assert spent > 0
-    assert not share.has_room(0.0, 1)
+    assert not share.allows_retry(0.0, 1)
--- a/tests/beliefs/test_start_turns.py
+++ b/tests/cluster_state/test_startup_stagger.py
@@ -5,15 +5,19 @@
 
 import pytest
 from wasabideck_adapter.deployment import DEPLOYMENT
-from wasabideck_base.believer import CONCURRENT_AGENT_READS, Believer
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.member_rows import MEMBERS, member_row
-from wasabideck_base.node import NodeSettings, StoreSettings
-from wasabideck_base.rows import Changes, Row
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.member_rows import MEMBERS_TABLE, member_row
+from wasabideck_base.rows import Row, RowChanges
+from wasabideck_base.state_sync import CONCURRENT_AGENT_READS, StateSync
+from wasabideck_base.vm_settings import StoreSettings, VMSettings
 from wasabideck_policy.membership import AGENT, ENTRY, Member
-from wasabideck_policy.readers import READERS
-from wasabideck_policy.start_turns import APART_SECONDS, LONGEST_SECONDS, read_delay
+from wasabideck_policy.reader_selection import READERS_PER_REGION
+from wasabideck_policy.startup_stagger import (
+    MAX_READ_DELAY_SECONDS,
+    READ_INTERVAL_SECONDS,
+    read_delay,
+)
 
 LINK_BYTES_PER_SECOND = 15.5e6 / 8
 TABLE_BYTES = 400_000
@@ -29,19 +33,19 @@
     assert found[:4] == [0.0] * 4
     assert found[4] == 2.0
     gaps = [b - a for a, b in zip(found[4:], found[5:], strict=False)]
-    assert all(gap == pytest.approx(APART_SECONDS) for gap in gaps)
+    assert all(gap == pytest.approx(READ_INTERVAL_SECONDS) for gap in gaps)
 
 
 def test_staggered_reads_fit_into_a_regions_link():
     # Guards against a table of 400 KB that all agents of a region read at once: the
     # link is full for six seconds, and blocks all other traffic of the store.
-    assert TABLE_BYTES / LINK_BYTES_PER_SECOND < APART_SECONDS
+    assert TABLE_BYTES / LINK_BYTES_PER_SECOND < READ_INTERVAL_SECONDS
     assert 4 * TABLE_BYTES / LINK_BYTES_PER_SECOND < 1.0
 
 
 def test_read_delay_is_bounded():
     vms = [f"vm-{n}" for n in range(2000)]
-    assert max(read_delay("r", vm, vms, 4) for vm in vms[:50]) <= LONGEST_SECONDS
+    assert max(read_delay("r", vm, vms, 4) for vm in vms[:50]) <= MAX_READ_DELAY_SECONDS
 
 
 def test_small_region_has_no_read_delay():
@@ -53,34 +57,36 @@
     """Records reads and writes; its members table holds the given members."""
 
     def __init__(self, members):
-        self.rows = [Row(MEMBERS, m.vm, member_row(m).value, 1) for m in members]
-        self.reads, self.writes, self.changes = [], [], Changes((), 5)
+        self.rows = [Row(MEMBERS_TABLE, m.vm, member_row(m).value, 1) for m in members]
+        self.reads, self.writes, self.changes = [], [], RowChanges((), 5)
 
-    def received(self, table):
+    def received_bytes(self, table):
         return 0
 
     async def read(self, table):
         self.reads.append(table)
-        return Changes(tuple(self.rows), 5) if table == MEMBERS else self.changes
+        return (
+            RowChanges(tuple(self.rows), 5) if table == MEMBERS_TABLE else self.changes
+        )
 
-    async def follow(self, table, after, wait):
+    async def wait_for_changes(self, table, after, wait):
         self.reads.append(table)
         await asyncio.sleep(wait)
-        return Changes((), after)
+        return RowChanges((), after)
 
     async def write(self, writes, expected=()):
         self.writes += writes
 
 
 def new_believer(me, store):
-    cfg = NodeSettings(me.vm, "127.0.0.1", "dc", "r", 1, StoreSettings(""))
-    return Believer(
+    cfg = VMSettings(me.vm, "127.0.0.1", "dc", "r", 1, StoreSettings(""))
+    return StateSync(
         cfg,
         me,
         DEPLOYMENT,
         store,
-        Channels(Clock()),
-        Events(me.vm, Clock(), lambda: 0.0),
+        Channels(HybridClock()),
+        Events(me.vm, HybridClock(), lambda: 0.0),
         asyncio.get_running_loop().time,
         random.Random(1),
     )
@@ -88,8 +94,8 @@
 
 def run_for(seconds, me, store, steps):
     async def run():
-        believer = new_believer(me, store)
-        tasks = [asyncio.create_task(step) for step in steps(believer)]
+        state_sync = new_believer(me, store)
+        tasks = [asyncio.create_task(step) for step in steps(state_sync)]
         await asyncio.sleep(seconds)
         for task in tasks:
             assert not task.done() or not task.exception()
@@ -117,7 +123,7 @@
             Store(everyone),
             lambda b: [b._run_member_reads(), b._run_fallback_reads()],
         )
-        readers += DEPLOYMENT.operators in store.reads
+        readers += DEPLOYMENT.declarations_table in store.reads
     assert 0 < readers <= CONCURRENT_AGENT_READS
 
 
@@ -128,8 +134,8 @@
         store = run_for(
             0.3, me, Store(everyone), lambda b: [b._run_member_reads(), b.readers.run()]
         )
-        readers += DEPLOYMENT.operators in store.reads
-    assert readers == READERS
+        readers += DEPLOYMENT.declarations_table in store.reads
+    assert readers == READERS_PER_REGION
 
 
 def test_entry_without_readers_reads_the_table_itself():
@@ -139,7 +145,7 @@
         store = run_for(
             3.5, me, Store(everyone), lambda b: [b._run_member_reads(), b.readers.run()]
         )
-        assert DEPLOYMENT.operators in store.reads
+        assert DEPLOYMENT.declarations_table in store.reads
 
 
 def test_restarted_process_reads_members_once_and_writes_nothing():
@@ -148,7 +154,7 @@
     store = run_for(
         2.5, everyone[0], Store(everyone), lambda b: [b._run_member_reads()]
     )
-    assert store.reads == [MEMBERS]
+    assert store.reads == [MEMBERS_TABLE]
     assert store.writes == []
 
 
@@ -156,7 +162,7 @@
     store = run_for(
         2.5, members_of(AGENT)[0], Store([]), lambda b: [b._run_member_reads()]
     )
-    assert store.reads == [MEMBERS] * 2
+    assert store.reads == [MEMBERS_TABLE] * 2
     assert [write.key for write in store.writes] == ["vm-0"]
 
 
--- a/tests/beliefs/test_superseding.py
+++ b/tests/cluster_state/test_superseded_transfer.py
@@ -1,7 +1,7 @@
 """Two versions declared within the time that the transfer of one takes."""
 
 import pytest
-from wasabideck_policy.superseding import finishes_older
+from wasabideck_policy.superseded_transfer import finish_older_first
 
 TRANSFER_SECONDS, ALLOWED_SECONDS = 5.2, 8.0
 
@@ -22,9 +22,10 @@
 )
 def test_the_shorter_time_without_servers_is_chosen(missing, interval, finishes):
     assert (
-        finishes_older(missing, interval, TRANSFER_SECONDS, ALLOWED_SECONDS) is finishes
+        finish_older_first(missing, interval, TRANSFER_SECONDS, ALLOWED_SECONDS)
+        is finishes
     )
 
 
 def test_the_older_version_is_dropped_when_there_is_enough_time():
-    assert not finishes_older(0.9, 1.0, 1.0, 60.0)
+    assert not finish_older_first(0.9, 1.0, 1.0, 60.0)
--- a/tests/beliefs/test_table_watch.py
+++ b/tests/cluster_state/test_table_watch.py
@@ -4,9 +4,9 @@
 import random
 
 import pytest
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.http_answers import PlatformUnavailable
-from wasabideck_base.rows import Changes, HistoryLost, Row
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.http_responses import PlatformUnavailable
+from wasabideck_base.rows import HistoryLost, Row, RowChanges
 from wasabideck_base.table_watch import STALLED_CALL_SECONDS, TablePosition, TableWatch
 
 
@@ -18,13 +18,13 @@
         self.calls = []
         self.bytes_received = 0
 
-    def received(self, table):
+    def received_bytes(self, table):
         return self.bytes_received
 
     async def read(self, table):
         return await self._next("read")
 
-    async def follow(self, table, after, wait):
+    async def wait_for_changes(self, table, after, wait):
         return await self._next(("follow", after))
 
     async def _next(self, call):
@@ -63,7 +63,7 @@
         lambda rows: recorder.full_reads.append({r.key for r in rows}),
         recorder.count_recovery,
         lambda: clock[0],
-        Events("vm", Clock(), lambda: 0.0),
+        Events("vm", HybridClock(), lambda: 0.0),
         random.Random(1),
     )
 
@@ -79,7 +79,7 @@
 
 def test_full_read_precedes_changes(recorder, clock):
     store = ScriptedStore(
-        Changes((row("a", 1),), 5), Changes((row("a", 6, removed=True),), 6)
+        RowChanges((row("a", 1),), 5), RowChanges((row("a", 6, removed=True),), 6)
     )
     asyncio.run(steps(watch_of(store, recorder, clock), 2))
     assert store.calls == ["read", ("follow", 5)]
@@ -90,10 +90,10 @@
     # After the store lost its history a full read is needed. A stale one from seconds
     # ago lacks a server that has joined since, and would remove it.
     store = ScriptedStore(
-        Changes((row("a", 4), row("b", 9)), 9),
+        RowChanges((row("a", 4), row("b", 9)), 9),
         HistoryLost("servers", 9),
-        Changes((row("a", 4),), 5),
-        Changes((row("a", 4), row("b", 9)), 9),
+        RowChanges((row("a", 4),), 5),
+        RowChanges((row("a", 4), row("b", 9)), 9),
     )
     watch = watch_of(store, recorder, clock)
 
@@ -111,9 +111,9 @@
 
 def test_end_of_outage_is_reported(recorder, clock):
     store = ScriptedStore(
-        Changes((), 1),
+        RowChanges((), 1),
         PlatformUnavailable("store", "down", False),
-        Changes((), 2),
+        RowChanges((), 2),
         None,
     )
     watch = watch_of(store, recorder, clock)
@@ -132,7 +132,7 @@
     # The connection to the store becomes unresponsive for good while others work: no
     # data and no error. Requests would go to a server that shuts down until the call
     # times out. A peer that knows a newer row reveals the fault.
-    store = ScriptedStore(Changes((row("a", 1),), 1), None, Changes((), 3))
+    store = ScriptedStore(RowChanges((row("a", 1),), 1), None, RowChanges((), 3))
     watch = watch_of(store, recorder, clock)
 
     async def run():
@@ -152,7 +152,7 @@
 def test_call_with_arriving_answer_is_not_cancelled(recorder, clock):
     # Guards against reading a configuration again over the link that was transferring
     # it.
-    store = ScriptedStore(Changes((row("a", 5),), 6), None)
+    store = ScriptedStore(RowChanges((row("a", 5),), 6), None)
     watch = watch_of(store, recorder, clock)
 
     async def run():
@@ -178,7 +178,7 @@
 def test_peer_without_newer_rows_cancels_nothing(recorder, clock):
     # The store's version grows with any write to any table. Only rows of this table may
     # count, or calls would be cancelled all the time.
-    store = ScriptedStore(Changes((row("a", 5),), 90), None)
+    store = ScriptedStore(RowChanges((row("a", 5),), 90), None)
     watch = watch_of(store, recorder, clock)
 
     async def run():
@@ -200,11 +200,11 @@
     # is sent to each entry; the link between two regions was full, and entries were two
     # seconds late. Reading the table returns only the last one.
     store = ScriptedStore(
-        Changes((row("a", 1),), 1),
-        Changes((row("a", 2),), 2),
-        Changes((row("a", 3),), 3),
-        Changes((row("a", 6),), 6),
-        Changes((row("a", 9),), 9),
+        RowChanges((row("a", 1),), 1),
+        RowChanges((row("a", 2),), 2),
+        RowChanges((row("a", 3),), 3),
+        RowChanges((row("a", 6),), 6),
+        RowChanges((row("a", 9),), 9),
     )
     watch = watch_of(store, recorder, clock)
     watch.prefers_full_read = True
@@ -222,7 +222,7 @@
     # An entry starts while the store refuses it, and a peer sends rows of servers. The
     # rows were stored without being acted on; the store's answer then contained nothing
     # new, and the entry had no server until their rows changed.
-    store = ScriptedStore(Changes((row("a", 3),), 5))
+    store = ScriptedStore(RowChanges((row("a", 3),), 5))
     watch = watch_of(store, recorder, clock)
     watch.merge_rows([row("a", 3)])
     assert recorder.rows == []
@@ -241,8 +241,8 @@
     # reply. It would underestimate by a second the age of a version declared just after
     # that reply. After a long suspension or an outage the usual bound applies.
     unavailable = PlatformUnavailable("store", "away", False)
-    answers = [unavailable] * failed + [Changes((row("a", 9),), 9)]
-    store = ScriptedStore(Changes((row("a", 1),), 1), *answers)
+    answers = [unavailable] * failed + [RowChanges((row("a", 9),), 9)]
+    store = ScriptedStore(RowChanges((row("a", 1),), 1), *answers)
     watch = watch_of(store, recorder, clock)
 
     async def run():
@@ -264,7 +264,7 @@
 def test_position_includes_staleness(recorder, clock):
     # In its delay after a change, a reader reports its position at the answer. While
     # its call is pending, a reader lacks only rows in transit.
-    store = ScriptedStore(Changes((row("a", 1),), 1), None)
+    store = ScriptedStore(RowChanges((row("a", 1),), 1), None)
     watch = watch_of(store, recorder, clock)
 
     async def run():
@@ -296,12 +296,12 @@
         self.clock[0] += self.held
         answered_at = self.clock[0]
         self.clock[0] += self.transits.pop(0)
-        return Changes(answer.rows, answer.version, answered_at + self.clock_ahead)
+        return RowChanges(answer.rows, answer.version, answered_at + self.clock_ahead)
 
 
 def test_answer_with_long_transit_was_not_held(recorder, clock):
     # Guards against ages counted from an answer's arrival, late by a full link's queue.
-    first, late = Changes((row("a", 1),), 1), Changes((row("b", 2),), 2)
+    first, late = RowChanges((row("a", 1),), 1), RowChanges((row("b", 2),), 2)
     watch = watch_of(SlowTransitStore(clock, [0.01, 0.9], first, late), recorder, clock)
 
     async def scenario():
@@ -315,7 +315,7 @@
 
 
 def test_staleness_counts_from_time_of_stores_answer(recorder, clock):
-    first, late = Changes((row("a", 1),), 1), Changes((), 1)
+    first, late = RowChanges((row("a", 1),), 1), RowChanges((), 1)
     watch = watch_of(SlowTransitStore(clock, [0.01, 0.8], first, late), recorder, clock)
 
     async def scenario():
@@ -328,7 +328,7 @@
 
 def test_changed_store_clock_does_not_increase_ages(recorder, clock):
     # Guards against overestimating ages by seconds after the store was replaced.
-    answers = [Changes((row("a", n),), n) for n in range(1, 5)]
+    answers = [RowChanges((row("a", n),), n) for n in range(1, 5)]
     store = SlowTransitStore(clock, [0.01] * 4, *answers)
     watch = watch_of(store, recorder, clock)
 
@@ -344,7 +344,7 @@
 
 def test_clock_drift_does_not_increase_transit(recorder, clock):
     # Guards against ages that grow with a process's uptime.
-    first, later = Changes((row("a", 1),), 1), Changes((row("b", 2),), 2)
+    first, later = RowChanges((row("a", 1),), 1), RowChanges((row("b", 2),), 2)
     store = SlowTransitStore(clock, [0.01, 0.01], first, later)
     watch = watch_of(store, recorder, clock)
 
@@ -360,7 +360,7 @@
 
 def test_rows_from_peer_count_from_their_receipt(recorder, clock):
     # Guards against acting on a mass removal at once because a peer reported it.
-    watch = watch_of(ScriptedStore(Changes((row("a", 1),), 1)), recorder, clock)
+    watch = watch_of(ScriptedStore(RowChanges((row("a", 1),), 1)), recorder, clock)
     asyncio.run(watch.step())
     clock[0] = 12.0
     watch.merge_rows([row("a", 2, removed=True)])
--- a/tests/beliefs/test_undated_versions.py
+++ b/tests/cluster_state/test_unknown_declaration_times.py
@@ -12,8 +12,8 @@
     store_answers,
 )
 from test_version_dates import run_pending_tasks
-from wasabideck_base.rows import Changes, Row
-from wasabideck_base.version_dates import TIMES_TABLE
+from wasabideck_base.declaration_times import TIMES_TABLE
+from wasabideck_base.rows import Row, RowChanges
 from wasabideck_policy.membership import AGENT, ENTRY
 
 AHEAD = 5000.0
@@ -31,7 +31,7 @@
 
     async def read(table):
         reads.append(table)
-        return Changes((PUBLISHED,), 9, clock[0] + AHEAD)
+        return RowChanges((PUBLISHED,), 9, clock[0] + AHEAD)
 
     process.store.read = read
 
@@ -56,15 +56,15 @@
     process = new_process(kind, clock)
     receive_gossip(process, declaration(3))
     assert run_lookup(process, clock) == 1
-    assert not process.beliefs.undated("m")
+    assert not process.cluster_state.undated("m")
 
 
 def test_time_of_version_in_first_read_is_looked_up(clock):
     # Guards against the same at an entry's first read.
     entry = new_process(ENTRY, clock)
-    store_answers(entry, clock, (35.05, 35.1, Changes((row(9, 3),), 9)))
+    store_answers(entry, clock, (35.05, 35.1, RowChanges((row(9, 3),), 9)))
     assert run_lookup(entry, clock) == 1
-    assert not entry.beliefs.undated("m")
+    assert not entry.cluster_state.undated("m")
 
 
 def test_time_of_version_read_by_agent_is_looked_up(clock):
@@ -76,4 +76,4 @@
 
     asyncio.run(read())
     assert run_lookup(agent, clock) == 1
-    assert not agent.beliefs.undated("m")
+    assert not agent.cluster_state.undated("m")
--- a/tests/beliefs/test_version_ages.py
+++ b/tests/cluster_state/test_version_ages.py
@@ -12,9 +12,9 @@
     store_answers,
 )
 from test_version_dates import AHEAD, FakeStore, Process, StoppedClock
-from wasabideck_base.hearsay import Hearsay
-from wasabideck_base.rows import Changes
-from wasabideck_base.told import age_entries, declaration_entry
+from wasabideck_base.gossip import Gossip
+from wasabideck_base.gossip_messages import age_entries, declaration_entry
+from wasabideck_base.rows import RowChanges
 from wasabideck_policy.declarations import weights_key
 from wasabideck_policy.membership import AGENT, ENTRY
 from wasabideck_wire import inner_pb2 as pb
@@ -26,15 +26,15 @@
     # Guards against followers that assign a declaration time to an old version while
     # their reader knows none.
     reader, follower = new_process(ENTRY, clock), new_process(ENTRY, clock)
-    stale = (35.05, 35.1, Changes((row(5, 2),), 5))
+    stale = (35.05, 35.1, RowChanges((row(5, 2),), 5))
     store_answers(follower, clock, stale)
     store_answers(reader, clock, stale)
     position = reader.operator_watch.position(clock[0])
     if position is not None:
         follower.operator_watch.adopt_position(position, 5, clock[0])
     follower.readers._covered = True
-    store_answers(reader, clock, (35.1, 35.2, Changes((row(9, 3),), 9)))
-    assert reader.beliefs.undated("m")
+    store_answers(reader, clock, (35.1, 35.2, RowChanges((row(9, 3),), 9)))
+    assert reader.cluster_state.undated("m")
     receive_gossip(follower, declaration(3))
     assert least_version(follower, clock, 37.9) == 3
 
@@ -51,10 +51,10 @@
         clock[0] += limit - 0.1
         return pb.SyncReply(entries=entries, heard=True)
 
-    monkeypatch.setattr(Hearsay, "_sync", call)
-    monkeypatch.setattr(Hearsay, "_choose_peer", lambda self, now: "10.0.0.9:1")
-    asyncio.run(agent.hearsay.sync_with_one())
-    assert agent.beliefs.newest("m").since <= 35.0 - 7.0
+    monkeypatch.setattr(Gossip, "_sync", call)
+    monkeypatch.setattr(Gossip, "_choose_peer", lambda self, now: "10.0.0.9:1")
+    asyncio.run(agent.gossip.sync_with_one())
+    assert agent.cluster_state.newest("m").since <= 35.0 - 7.0
 
 
 def test_newer_time_is_published_after_older_one_is_found():
@@ -77,7 +77,7 @@
     started = Process(store, clock)
     started.record_unknown_time(3)
     started.run(0.3)
-    assert not started.beliefs.undated("m")
+    assert not started.cluster_state.undated("m")
 
 
 def test_slow_read_of_publisher_does_not_reduce_age():
@@ -100,7 +100,7 @@
     started = Process(store, clock)
     started.record_unknown_time(2)
     started.run()
-    assert started.beliefs.newest("m").since <= declared_at
+    assert started.cluster_state.newest("m").since <= declared_at
 
 
 def test_published_time_in_the_future_is_ignored():
@@ -111,6 +111,6 @@
     started = Process(store, clock)
     started.record_unknown_time(2)
     started.run()
-    started.beliefs.name_version("m", 3, clock() - 8.0, False, clock())
+    started.cluster_state.declare_version("m", 3, clock() - 8.0, False, clock())
     clock.now += 8.0
     assert started.least_version() == 3
--- a/tests/forward/conftest.py
+++ b/tests/forward/conftest.py
@@ -7,15 +7,15 @@
 
 import pytest
 import uvloop
-from wasabideck_adapter.wire import WIRE
-from wasabideck_base.events import Clock, Events
+from wasabideck_adapter.head_codec import HEAD_CODEC
+from wasabideck_base.events import Events, HybridClock
 from wasabideck_forward.caller_connection import CallerConnection, CallerEndpoint
-from wasabideck_forward.crash_watch import CrashWatch
-from wasabideck_forward.dispatch import Bounds, Dispatch
+from wasabideck_forward.crash_detector import CrashDetector
+from wasabideck_forward.dispatcher import Dispatcher, DispatchLimits
 from wasabideck_forward.forwarder import Forwarder
 from wasabideck_forward.server_pool import ServerPool
-from wasabideck_policy.backends import Listed, Loaded
-from wasabideck_policy.beliefs import Beliefs
+from wasabideck_policy.backends import ListedServer, LoadedLayers
+from wasabideck_policy.cluster_state import ClusterState
 from wasabideck_policy.configuration import (
     CallerLimits,
     Configuration,
@@ -34,13 +34,18 @@
 
 
 ENGINE = EngineModel(
-    "m", slots=8, step=0.008, step_per_request=0.0, read_rate=30000.0, layers=4
+    "m",
+    max_running_requests=8,
+    step_seconds=0.008,
+    step_seconds_per_request=0.0,
+    prompt_tokens_per_second=30000.0,
+    layers=4,
 )
 
 
 def loaded(version):
     """Return the layers that a server is listed with once it has loaded a version."""
-    return (Loaded(ENGINE.model, version, 0, ENGINE.layers),)
+    return (LoadedLayers(ENGINE.model, version, 0, ENGINE.layers),)
 
 
 def configuration(*routes, number=1, limits=None, keys=None, engine=None):
@@ -204,44 +209,46 @@
 
     def __init__(self, cfg):
         loop = asyncio.get_running_loop()
-        self.beliefs = Beliefs(loop.time(), configuration=cfg, listed=True)
-        self.beliefs.heard_at = loop.time() + 1000
+        self.cluster_state = ClusterState(
+            loop.time(), configuration=cfg, servers_known=True
+        )
+        self.cluster_state.last_contact_at = loop.time() + 1000
         self.log = []
-        events = Events("vm", Clock(), lambda: 0.0)
+        events = Events("vm", HybridClock(), lambda: 0.0)
         events.listeners.append(lambda kind, fields: self.log.append((kind, fields)))
-        self.pool = ServerPool(WIRE, loop.time)
-        self.dispatch = Dispatch(
-            self.beliefs,
-            Bounds(0.2, 100.0, 10.0, 8.0, 8.0, 7.0, 7.0),
+        self.pool = ServerPool(HEAD_CODEC, loop.time)
+        self.dispatcher = Dispatcher(
+            self.cluster_state,
+            DispatchLimits(0.2, 100.0, 10.0, 8.0, 8.0, 7.0, 7.0),
             "dc",
             loop.time,
             random.Random(3),
-            CrashWatch(Quarantine(), events, lambda: 1000.0),
+            CrashDetector(Quarantine(), events, lambda: 1000.0),
         )
-        self.forwarder = Forwarder(self.pool, WIRE, events, self.dispatch)
-        self.front = CallerEndpoint(
-            WIRE,
+        self.forwarder = Forwarder(self.pool, HEAD_CODEC, events, self.dispatcher)
+        self.caller_endpoint = CallerEndpoint(
+            HEAD_CODEC,
             loop.time,
-            lambda: self.beliefs.configuration.limits,
+            lambda: self.cluster_state.configuration.limits,
             self.forwarder.serve,
             set(),
         )
         self.servers = []
-        self.recall_task = loop.create_task(self.forwarder.keep_taking_back())
+        self.recall_task = loop.create_task(self.forwarder.run_recalls())
 
     async def add_server(self, *scripts, name=None, slots=8, **kw):
         server = ScriptedServer(*scripts)
         port = await server.start()
         name = name or f"i-{len(self.servers)}"
         self.servers.append(server)
-        listed = Listed(name, "s", f"127.0.0.1:{port}", "dc", slots, **kw)
-        self.beliefs.backends.take(listed)
+        listed = ListedServer(name, "s", f"127.0.0.1:{port}", "dc", slots, **kw)
+        self.cluster_state.backends.update(listed)
         return server
 
     async def listen(self):
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
-            lambda: CallerConnection(self.front), "127.0.0.1", 0
+            lambda: CallerConnection(self.caller_endpoint), "127.0.0.1", 0
         )
         return self.listener.sockets[0].getsockname()[1]
 
--- a/tests/forward/test_crashing_requests.py
+++ b/tests/forward/test_crashing_requests.py
@@ -4,7 +4,7 @@
 
 import pytest
 from wasabideck_policy.configuration import Kind
-from wasabideck_policy.quarantine import MOST_CRASHES
+from wasabideck_policy.quarantine import MAX_CRASHES
 
 from .conftest import Entry, answers, configuration, reset, resets, route
 
@@ -28,8 +28,10 @@
 
 def _prefer(entry, server):
     """Have the next request sent to this server, by making all others full."""
-    for name in entry.beliefs.backends.names():
-        entry.beliefs.backends.get(name).in_progress = 0 if name == server else 100
+    for name in entry.cluster_state.backends.names():
+        entry.cluster_state.backends.get(name).in_progress = (
+            0 if name == server else 100
+        )
 
 
 @pytest.mark.parametrize("kind", [Kind.UNSAFE, Kind.SAFE])
@@ -39,7 +41,7 @@
     # this entry or another one, each time at a healthy server.
     async def scenario():
         entry = Entry(configuration(route(kind=kind, attempts=1)))
-        for crash in range(MOST_CRASHES):
+        for crash in range(MAX_CRASHES):
             await _add_crashing(entry)
             _prefer(entry, f"i-{crash}")
             caller = await entry.caller()
@@ -47,7 +49,7 @@
             assert (await caller.answer())[0] == 502
             await _wait_for_events(entry, "server.died", crash + 1)
         third = await entry.add_server(answers())
-        _prefer(entry, f"i-{MOST_CRASHES}")
+        _prefer(entry, f"i-{MAX_CRASHES}")
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"poison", name=b"again")
         status, headers, body = await caller.answer()
@@ -65,16 +67,16 @@
     # loses two responses must not be quarantined for crashing servers.
     async def scenario():
         entry = Entry(configuration(route(kind=Kind.UNSAFE, attempts=1)))
-        for number in range(MOST_CRASHES + 1):
+        for number in range(MAX_CRASHES + 1):
             await entry.add_server(resets)
             _prefer(entry, f"i-{number}")
             caller = await entry.caller()
             await caller.ask(method=b"POST", body=b"order", name=b"r%d" % number)
             assert (await caller.answer())[0] == 502
-            while entry.dispatch.crashes._probing:
+            while entry.dispatcher.crash_detector._probing:
                 await asyncio.sleep(0)
         await entry.add_server(answers(b"done"))
-        _prefer(entry, f"i-{MOST_CRASHES + 1}")
+        _prefer(entry, f"i-{MAX_CRASHES + 1}")
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"order", name=b"last")
         assert (await caller.answer())[2] == b"done"
--- a/tests/forward/test_endless_bytes.py
+++ b/tests/forward/test_endless_bytes.py
@@ -67,7 +67,7 @@
         entry = Entry(configuration(route(timeout=TIMEOUT)))
         await entry.add_server(endless)
         await entry.add_server(answers(b"sound"))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask()
         async with asyncio.timeout(TIMEOUT / 2):
@@ -86,7 +86,7 @@
         entry = Entry(configuration(route(kind=Kind.UNSAFE, timeout=TIMEOUT)))
         await entry.add_server(endless)
         second = await entry.add_server(answers(b"sound"))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask(method=b"POST")
         async with asyncio.timeout(TIMEOUT / 2):
@@ -108,7 +108,7 @@
         entry = Entry(configuration(stream, engine=ENGINE))
         await entry.add_server(bad, loaded=loaded(1))
         await entry.add_server(streams(event(1), event(2)), loaded=loaded(1))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask(method=b"POST")
         async with asyncio.timeout(2):
@@ -128,7 +128,7 @@
         entry = Entry(configuration(route(timeout=6.0)))
         await entry.add_server(bad)
         await entry.add_server(answers(b"sound"))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask()
         async with asyncio.timeout(3):
--- a/tests/forward/test_entry_process.py
+++ b/tests/forward/test_entry_process.py
@@ -5,35 +5,35 @@
 
 import pytest
 from wasabideck_adapter.deployment import DEPLOYMENT
-from wasabideck_base.believer import Believer
 from wasabideck_base.channels import Channels
 from wasabideck_base.early_listener import EarlyListener
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.node import NodeSettings, StoreSettings
-from wasabideck_base.node_process import NodeProcess
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.state_sync import StateSync
+from wasabideck_base.vm_process import VMProcess
+from wasabideck_base.vm_settings import StoreSettings, VMSettings
 from wasabideck_forward.entry_process import _assemble, _bounds
-from wasabideck_forward.forwarder import LOOK_SECONDS, Forwarder
+from wasabideck_forward.forwarder import RECALL_INTERVAL_SECONDS, Forwarder
 from wasabideck_policy.membership import ENTRY, Member
 
 
 @pytest.fixture
 def process():
-    cfg = NodeSettings(
+    cfg = VMSettings(
         "vm",
         "127.0.0.1",
         "dc",
         "r",
         0,
         StoreSettings(""),
-        front="127.0.0.1:0",
-        ready="127.0.0.1:0",
+        caller_address="127.0.0.1:0",
+        health_check_address="127.0.0.1:0",
     )
     me = Member("vm", ENTRY, "127.0.0.1:1", "r")
-    events, channels = Events("vm", Clock(), lambda: 0.0), Channels(Clock())
+    events, channels = Events("vm", HybridClock(), lambda: 0.0), Channels(HybridClock())
     clock, rng = lambda: 1000.0, random.Random(1)
-    believer = Believer(cfg, me, DEPLOYMENT, None, channels, events, clock, rng)
+    state_sync = StateSync(cfg, me, DEPLOYMENT, None, channels, events, clock, rng)
     stop = asyncio.Event()
-    return NodeProcess(cfg, events, None, channels, believer, clock, rng, stop)
+    return VMProcess(cfg, events, None, channels, state_sync, clock, rng, stop)
 
 
 def test_requests_are_recalled_before_their_weights_expire(process):
@@ -41,17 +41,24 @@
     # too late: the check runs at intervals, and the close takes time to reach the
     # server.
     bounds = _bounds(process.cfg)
-    assert bounds.queue_seconds < bounds.version_seconds < bounds.begin_seconds
-    assert bounds.begin_seconds + 3 * LOOK_SECONDS < process.cfg.bounds.version
+    assert (
+        bounds.max_queue_age_seconds
+        < bounds.max_send_age_seconds
+        < bounds.max_start_age_seconds
+    )
+    assert (
+        bounds.max_start_age_seconds + 3 * RECALL_INTERVAL_SECONDS
+        < process.cfg.limits.version_deadline_seconds
+    )
 
 
 def test_a_running_entry_checks_for_requests_to_recall(process, monkeypatch):
     checking = asyncio.Event()
 
-    async def keep_taking_back(forwarder):
+    async def run_recalls(forwarder):
         checking.set()
 
-    monkeypatch.setattr(Forwarder, "keep_taking_back", keep_taking_back)
+    monkeypatch.setattr(Forwarder, "run_recalls", run_recalls)
 
     async def run():
         entry = _assemble(process, DEPLOYMENT)
@@ -70,7 +77,7 @@
         raise ValueError("broken")
 
     async def run():
-        process.keep(fails())
+        process.start_loop(fails())
         async with asyncio.timeout(5):
             await process.stop.wait()
 
--- a/tests/forward/test_forwarding.py
+++ b/tests/forward/test_forwarding.py
@@ -7,7 +7,7 @@
 import pytest
 from attrs import evolve
 from wasabideck_forward.delivery import MAX_BUFFERED_BYTES, NEXT_EVENT_HEDGE_SECONDS
-from wasabideck_policy.backends import Listed
+from wasabideck_policy.backends import ListedServer
 from wasabideck_policy.configuration import CallerLimits, Kind
 from wasabideck_policy.placement import Urgency
 
@@ -86,7 +86,7 @@
         caller = await entry.caller()
         await caller.ask(b"Authorization: Token k9")
         assert (await caller.answer())[0] == 401
-        entry.beliefs.heard_at = -100.0
+        entry.cluster_state.last_contact_at = -100.0
         await caller.ask(b"Authorization: Token k9")
         status, headers, _ = await caller.answer()
         assert status == 503
@@ -98,7 +98,7 @@
 def test_a_process_without_a_configuration_refuses_with_503(play):
     async def scenario():
         entry = Entry(None)
-        entry.front.limits = CallerLimits
+        entry.caller_endpoint.limits = CallerLimits
         caller = await entry.caller()
         await caller.ask()
         assert (await caller.answer())[0] == 503
@@ -111,7 +111,7 @@
         entry = Entry(configuration(route(kind=Kind.UNSAFE)))
         await entry.add_server(refuses())
         await entry.add_server(answers(b"one"))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"order")
         assert (await caller.answer())[2] == b"one"
@@ -127,7 +127,7 @@
         entry = Entry(configuration(route(kind=Kind.UNSAFE)))
         await entry.add_server(resets)
         other = await entry.add_server(answers())
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"order")
         assert (await caller.answer())[0] == 502
@@ -141,7 +141,7 @@
         entry = Entry(configuration(route()))
         await entry.add_server(resets)
         await entry.add_server(answers(b"found"))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask()
         assert (await caller.answer())[2] == b"found"
@@ -172,7 +172,7 @@
         await entry.add_server(answers(b"no", b"500 Internal Server Error"))
         for script in others:
             await entry.add_server(script)
-            entry.beliefs.backends.get("i-1").in_progress = 5
+            entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask()
         status, _, body = await caller.answer()
@@ -204,18 +204,18 @@
         entry = Entry(configuration(route(kind=Kind.UNSAFE)))
         first = await entry.add_server(answers(b"too late"))
         await entry.add_server(answers(b"other"))
-        backends = entry.beliefs.backends
+        backends = entry.cluster_state.backends
         backends.get("i-1").in_progress = 5
 
         async def take_and_leave(backend, idempotent, timeout):
-            conn = await entry.pool.take(backend, idempotent, timeout)
+            conn = await entry.pool.acquire(backend, idempotent, timeout)
             if backend.server == "i-0" and leaves == "is gone":
                 backends.remove(["i-0"], asyncio.get_running_loop().time())
             elif backend.server == "i-0":
-                backends.take(evolve(backend.listed, leaving=True))
+                backends.update(evolve(backend.listed, leaving=True))
             return conn
 
-        pool = SimpleNamespace(take=take_and_leave, give_back=entry.pool.give_back)
+        pool = SimpleNamespace(acquire=take_and_leave, release=entry.pool.release)
         entry.forwarder.attempts.pool = pool
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"order")
@@ -344,7 +344,7 @@
             streams(event(1), event(2), event(3)[:5], then="reset", pause=0.02)
         )
         other = await entry.add_server(streams(event(3), event(4)))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         status, _, body = await caller.answer()
@@ -360,7 +360,7 @@
         entry = Entry(configuration(route(**STREAM)))
         await entry.add_server(streams(event(1), event(2), then="reset", pause=0.02))
         await entry.add_server(streams(event(1), event(2), event(3)))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         with pytest.raises(asyncio.IncompleteReadError):
@@ -423,8 +423,8 @@
         caller = await entry.caller()
         await caller.ask()
         await caller.answer()
-        entry.beliefs.configuration = configuration(
-            route(), number=2, limits=CallerLimits(header_bytes=100)
+        entry.cluster_state.configuration = configuration(
+            route(), number=2, limits=CallerLimits(max_header_bytes=100)
         )
         await caller.ask(b"X-Long: " + b"x" * 200)
         assert (await caller.answer())[0] == 431
@@ -434,7 +434,7 @@
 
 def test_a_body_over_the_limit_is_refused(play):
     async def scenario():
-        limits = CallerLimits(body_bytes=10)
+        limits = CallerLimits(max_body_bytes=10)
         entry = Entry(configuration(route(kind=Kind.UNSAFE), limits=limits))
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"x" * 11)
@@ -463,9 +463,9 @@
     async def scenario():
         entry = Entry(configuration(route()))
         await entry.add_server(*(answers(b"%d" % n) for n in range(4)))
-        unreachable = Listed("i-dark", "s", "127.0.0.1:1", "dc", 8)
-        entry.beliefs.backends.take(unreachable)
-        entry.beliefs.backends.get("i-0").in_progress = 5
+        unreachable = ListedServer("i-dark", "s", "127.0.0.1:1", "dc", 8)
+        entry.cluster_state.backends.update(unreachable)
+        entry.cluster_state.backends.get("i-0").in_progress = 5
         caller = await entry.caller()
         for n in range(3):
             await caller.ask(name=b"req-%d" % n)
@@ -484,7 +484,9 @@
         entry = Entry(configuration(route(timeout=5.0)))
         first_server = await entry.add_server(hangs)
         other = await entry.add_server(answers(), answers())
-        first, second = (entry.beliefs.backends.get(name) for name in ("i-0", "i-1"))
+        first, second = (
+            entry.cluster_state.backends.get(name) for name in ("i-0", "i-1")
+        )
         caller = await entry.caller()
         # Leaves an idle connection to the other server, which can be used at once.
         first.in_progress = 5
@@ -510,8 +512,10 @@
         entry = Entry(configuration(route(kind=Kind.STREAM, timeout=5.0)))
         suspended = await entry.add_server(streams(event(1), then="hang"), *[hangs] * 4)
         await entry.add_server(*[streams(event(n)) for n in range(3)])
-        entry.beliefs.backends.get("i-1").others = 4
-        entry.beliefs.backends.get("i-1").told_at = entry.forwarder.clock() + 60
+        entry.cluster_state.backends.get("i-1").other_requests = 4
+        entry.cluster_state.backends.get("i-1").load_reported_at = (
+            entry.forwarder.clock() + 60
+        )
         waiting = await entry.caller()
         await waiting.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(1.0)
@@ -536,7 +540,7 @@
         )
         others = [streams(event(n)) for n in (2, 3)]
         other = await entry.add_server(*others)
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         callers = [await entry.caller() for _ in range(2)]
         for n, caller in enumerate(callers):
             await caller.ask(method=b"POST", body=b"prompt", name=b"req-%d" % n)
@@ -558,11 +562,11 @@
             streams(event(1), then="reset", pause=0.2), loaded=loaded(1)
         )
         other = await entry.add_server(streams(event(2)), loaded=loaded(1))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         assert (await caller.answer())[2] == event(1) + event(2)
-        assert b"X-Request-Priority: %d\r\n" % Urgency.FRESH in other.requests[0]
+        assert b"X-Request-Priority: %d\r\n" % Urgency.IN_TIME in other.requests[0]
 
     play(scenario)
 
@@ -585,7 +589,7 @@
 
         await entry.add_server(aborts)
         await entry.add_server(answers(b"y" * MAX_BUFFERED_BYTES))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask()
         await caller.reader.readuntil(b"\r\n\r\n")
--- a/tests/forward/test_late_requests.py
+++ b/tests/forward/test_late_requests.py
@@ -4,9 +4,9 @@
 
 from wasabideck_forward.delivery import NEXT_EVENT_HEDGE_SECONDS
 from wasabideck_policy.configuration import Kind
-from wasabideck_policy.engine_news import EngineNews
+from wasabideck_policy.engine_report import EngineReport
 from wasabideck_policy.placement import Urgency
-from wasabideck_policy.waves import DRAIN_SECONDS
+from wasabideck_policy.rollout_waves import DRAIN_SECONDS
 
 from .conftest import (
     ENGINE,
@@ -25,8 +25,8 @@
 
 def report(entry, name, serving):
     """Have a server's agent report whether it accepts requests."""
-    backend = entry.beliefs.backends.get(name)
-    message = EngineNews(backend.listed.address, 1, serving, 1, 0, 0.0, 1)
+    backend = entry.cluster_state.backends.get(name)
+    message = EngineReport(backend.listed.address, 1, serving, 1, 0, 0.0, 1)
     backend.hear(message, asyncio.get_running_loop().time())
 
 
@@ -40,7 +40,7 @@
             loaded=loaded(1),
         )
         other = await entry.add_server(streams(event(2)), loaded=loaded(1))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
@@ -102,7 +102,7 @@
         fresh = await entry.caller()
         await fresh.ask(b"X-Deadline-Ms: 5500", method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
-        assert b"X-Request-Priority: %d\r\n" % Urgency.FRESH in server.requests[2]
+        assert b"X-Request-Priority: %d\r\n" % Urgency.IN_TIME in server.requests[2]
 
     play(scenario)
 
@@ -161,8 +161,8 @@
         unreachable = await entry.add_server(hangs, loaded=loaded(1))
         far = await entry.add_server(streams(event(2)), loaded=loaded(1))
         unreachable.listener.close()
-        entry.beliefs.backends.get("i-1").in_progress = 4
-        entry.beliefs.backends.get("i-2").in_progress = 6
+        entry.cluster_state.backends.get("i-1").in_progress = 4
+        entry.cluster_state.backends.get("i-2").in_progress = 6
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         assert (await caller.answer())[2] == event(1) + event(2)
@@ -176,12 +176,12 @@
     # configuration were refused; they had retried once already, and did not again.
     async def scenario():
         entry = Entry(configuration(route()))
-        entry.beliefs.listed = False
+        entry.cluster_state.servers_known = False
         await entry.add_server(answers())
         caller = await entry.caller()
         await caller.ask()
         await asyncio.sleep(0.1)
-        entry.beliefs.listed = True
+        entry.cluster_state.servers_known = True
         assert (await caller.answer())[0] == 200
 
     play(scenario)
--- a/tests/forward/test_silent_servers.py
+++ b/tests/forward/test_unresponsive_servers.py
@@ -12,13 +12,13 @@
     NEXT_EVENT_HEDGE_SECONDS,
     PLAIN_HEDGE_SECONDS,
 )
+from wasabideck_forward.hedging import Replaced, wait_or_hedge
 from wasabideck_forward.recall import Recalled
-from wasabideck_forward.server_connection import Answer
-from wasabideck_forward.takeover import Replaced, wait_or_hedge
+from wasabideck_forward.server_connection import ServerResponse
 from wasabideck_policy.configuration import Kind
-from wasabideck_policy.engine_news import EngineNews
-from wasabideck_policy.late_lane import LateLane
-from wasabideck_policy.waves import DRAIN_SECONDS
+from wasabideck_policy.engine_report import EngineReport
+from wasabideck_policy.late_requests import LateRequestLimiter
+from wasabideck_policy.rollout_waves import DRAIN_SECONDS
 
 from .conftest import (
     ENGINE,
@@ -75,7 +75,7 @@
 
 def keep_from(entry, name):
     """Have the first request sent to another server than this one."""
-    if backend := entry.beliefs.backends.get(name):
+    if backend := entry.cluster_state.backends.get(name):
         backend.in_progress = 5
 
 
@@ -150,7 +150,7 @@
         caller.writer.close()
         await asyncio.wait_for(first.closed.wait(), 0.5)
         await asyncio.wait_for(other.closed.wait(), 0.5)
-        assert entry.beliefs.backends.get("i-0").in_progress == 0
+        assert entry.cluster_state.backends.get("i-0").in_progress == 0
 
     play(scenario)
 
@@ -166,10 +166,10 @@
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
-        backend = entry.beliefs.backends.get("i-0")
+        backend = entry.cluster_state.backends.get("i-0")
         for _ in range(int(DRAIN_SECONDS / 0.1) + 4):
-            report = EngineNews(backend.listed.address, 1, False, 1, 0, 0.0, 1)
-            backend.hear(report, asyncio.get_running_loop().time())
+            report = EngineReport(backend.listed.address, 1, False, 1, 0, 0.0, 1)
+            backend.apply_report(report, asyncio.get_running_loop().time())
             await asyncio.sleep(0.1)
         status, _, body = await caller.answer()
         assert (status, body) == (200, b"".join(pieces))
@@ -230,18 +230,18 @@
         while not other.requests:
             await asyncio.sleep(0.01)
         now = asyncio.get_running_loop().time()
-        entry.beliefs.name_version(ENGINE.model, 2, now - 60)
+        entry.cluster_state.declare_version(ENGINE.model, 2, now - 60)
         await asyncio.wait_for(first.closed.wait(), 0.3)
         assert not other.closed.is_set()
 
     play(scenario)
 
 
-@pytest.mark.parametrize("wait", [Answer.read, lambda a: a.arrived(bool)])
+@pytest.mark.parametrize("wait", [ServerResponse.read, lambda a: a.arrived(bool)])
 def test_a_recalled_response_is_not_an_empty_complete_one(play, wait):
     # Guards against passing on an empty response as complete after a recall.
     async def scenario():
-        answer = Answer("req-1", bodyless=False)
+        answer = ServerResponse("req-1", bodyless=False)
         answer.fail(Recalled("version 1, 2 is due"))
         answer.add(event(1))
         answer.ended = True
@@ -300,7 +300,7 @@
         caller = await entry.caller()
         await caller.ask()
         assert (await caller.answer())[0] == int(status[:3])
-        assert not entry.dispatch.outliers._records.get("i-1")
+        assert not entry.dispatcher.outliers._records.get("i-1")
 
     play(scenario)
 
@@ -327,19 +327,19 @@
         await unresponsive_server(entry, hangs)
         await entry.add_server(hangs, loaded=loaded(1))
         keep_from(entry, "i-1")
-        share = entry.dispatch._retry_share("s")
-        late = entry.dispatch._late_limiter
-        entry.dispatch._late_limiter = SimpleNamespace(
-            has_room=lambda engines, entries: False,
-            may_wait=lambda request, seconds, now: False,
-            begun=late.begun,
-            ended=late.ended,
+        share = entry.dispatcher._retry_limit("s")
+        late = entry.dispatcher._late_limiter
+        entry.dispatcher._late_limiter = SimpleNamespace(
+            may_send=lambda engines, entries: False,
+            try_enqueue=lambda request, seconds, now: False,
+            record_started=late.record_started,
+            record_ended=late.record_ended,
         )
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(FIRST_EVENT_HEDGE_SECONDS + 1.0)
         assert len(entry.servers[1].requests) == 0
-        assert share._repeats == 0
+        assert share._retries == 0
 
     play(scenario)
 
@@ -347,11 +347,11 @@
 def test_a_started_stream_is_not_counted_among_waiting_late_requests():
     # Guards against refusing late requests because of one that its first server
     # answers.
-    limiter = LateLane()
-    assert limiter.may_wait("first", 1.0, 0.0)
-    assert not limiter.may_wait("second", 1.0, 0.0)
-    limiter.begun("first")
-    assert limiter.may_wait("second", 1.0, 0.0)
+    limiter = LateRequestLimiter()
+    assert limiter.try_enqueue("first", 1.0, 0.0)
+    assert not limiter.try_enqueue("second", 1.0, 0.0)
+    limiter.record_started("first")
+    assert limiter.try_enqueue("second", 1.0, 0.0)
 
 
 def test_a_refusal_during_the_search_for_another_server_is_no_failure(play):
@@ -364,7 +364,7 @@
         caller = await entry.caller()
         await caller.ask()
         assert (await caller.answer())[2] == b"other"
-        assert not entry.dispatch.outliers._records.get("i-0")
+        assert not entry.dispatcher.outliers._records.get("i-0")
 
     play(scenario)
 
@@ -381,9 +381,9 @@
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         (request,) = entry.forwarder.attempts.in_flight._requests
-        request.response.ask_to_leave()
+        request.response.request_failover()
         assert (await caller.answer())[2] == event(1) + event(2) + event(3)
-        assert entry.dispatch.outliers._records.get("i-0")
+        assert entry.dispatcher.outliers._records.get("i-0")
 
     play(scenario)
 
@@ -417,7 +417,7 @@
         await asyncio.sleep(0.2)
         stop.send(b"x")
         assert (await caller.answer())[2] == event(1) + event(2)
-        assert entry.dispatch._retry_share("s")._repeats == 0
+        assert entry.dispatcher._retry_limit("s")._retries == 0
 
     play(scenario)
 
--- a/tests/forward/test_weights.py
+++ b/tests/forward/test_weights.py
@@ -5,7 +5,7 @@
 import pytest
 from wasabideck_forward.server_pool import ServerPool, Unreachable
 from wasabideck_policy.configuration import Kind
-from wasabideck_policy.engine_news import EngineNews
+from wasabideck_policy.engine_report import EngineReport
 
 from .conftest import (
     ENGINE,
@@ -26,17 +26,17 @@
 def declare_ago(entry, number, seconds):
     """Declare a version as of a number of seconds ago."""
     now = asyncio.get_running_loop().time()
-    entry.beliefs.name_version(ENGINE.model, number, now - seconds)
+    entry.cluster_state.declare_version(ENGINE.model, number, now - seconds)
 
 
 def send_report(entry, name, version, serving=True, ready_in=0.0, newest_version=2):
     """Report, as a server's agent does, on which version it starts requests."""
-    backend = entry.beliefs.backends.get(name)
-    report = EngineNews(
+    backend = entry.cluster_state.backends.get(name)
+    report = EngineReport(
         backend.listed.address, version, serving, 0, 0, ready_in, newest_version
     )
     backend.hear(report, asyncio.get_running_loop().time())
-    entry.dispatch.wake()
+    entry.dispatcher.wake()
 
 
 def test_a_server_without_an_agent_gets_no_request_that_could_wait_too_long(play):
@@ -48,7 +48,7 @@
         attended = await entry.add_server(
             *[streams(event(1))] * 3, loaded=loaded(1), slots=32
         )
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         declare_ago(entry, 2, VERSION_SECONDS - 0.8)
         send_report(entry, "i-1", 1)
         for _ in range(3):
@@ -162,7 +162,7 @@
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         unreachable = await entry.add_server(streams(event(1)), loaded=loaded(1))
         await entry.add_server(streams(event(1), event(2)), loaded=loaded(1))
-        entry.beliefs.backends.get("i-1").in_progress = 5
+        entry.cluster_state.backends.get("i-1").in_progress = 5
         declare_ago(entry, 2, VERSION_SECONDS - 0.8)
         send_report(entry, "i-0", 1)
         send_report(entry, "i-1", 1)
@@ -174,8 +174,8 @@
                 raise Unreachable(backend.server, "no connection in time")
             return await connect(pool, backend, timeout_seconds)
 
-        idle = await connect(entry.pool, entry.beliefs.backends.get("i-0"), 1.0)
-        entry.pool.give_back(entry.beliefs.backends.get("i-0"), idle)
+        idle = await connect(entry.pool, entry.cluster_state.backends.get("i-0"), 1.0)
+        entry.pool.release(entry.cluster_state.backends.get("i-0"), idle)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(ServerPool, "_connect", connect_over_full_link)
             caller = await entry.caller()
@@ -199,10 +199,10 @@
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
-        backends = entry.beliefs.backends
+        backends = entry.cluster_state.backends
         listed = backends.get("i-0").listed
         backends.remove(["i-0"], asyncio.get_running_loop().time())
-        backends.take(listed)
+        backends.update(listed)
         send_report(entry, "i-0", 2, serving=False, ready_in=0.8)
         assert (await caller.answer())[::2] == (200, event(1))
 
@@ -220,7 +220,7 @@
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
-        entry.beliefs.backends.remove(["i-0"], asyncio.get_running_loop().time())
+        entry.cluster_state.backends.remove(["i-0"], asyncio.get_running_loop().time())
         assert (await caller.answer())[::2] == (200, event(1))
 
     play(scenario)
@@ -302,7 +302,7 @@
         why = [fields["why"] for kind, fields in entry.log if kind == "attempt.failed"]
         assert why == ["Recalled: i-0: version 1, 2 is due"] * 4
         now = asyncio.get_running_loop().time()
-        assert not entry.dispatch.outliers.out("i-0", now)
+        assert not entry.dispatcher.outliers.is_ejected("i-0", now)
 
     play(scenario)
 
--- a/tests/product/test_events.py
+++ b/tests/product/test_events_and_clock.py
@@ -8,20 +8,20 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from wasabideck_base.channels import Channels, observe_clock
+from wasabideck_base.channels import Channels, exchange_clock
 from wasabideck_base.events import (
     MAX_DRIFT_SECONDS,
-    Clock,
     EventFile,
     Events,
     EventsUnwritable,
-    Stamp,
+    HybridClock,
+    Timestamp,
     open_events,
 )
 from wasabideck_base.inner_limits import InnerServer
-from wasabideck_base.process import repeating
+from wasabideck_base.process import periodic_with_events
 from wasabideck_base.settings import TlsSettings
-from wasabideck_base.spread import PeersService
+from wasabideck_base.ticket_replication import PeersService
 from wasabideck_base.tls import KeysUnusable
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.inner_grpc import PeersStub
@@ -30,8 +30,8 @@
 @given(st.lists(st.tuples(st.integers(0, 2), st.floats(0, 100)), max_size=60))
 def test_an_effect_has_a_later_timestamp_than_its_cause(steps):
     # Three processes with arbitrary wall clock jumps send messages to each other.
-    clocks = [Clock(), Clock(), Clock()]
-    sent = Stamp(0, 0)
+    clocks = [HybridClock(), HybridClock(), HybridClock()]
+    sent = Timestamp(0, 0)
     for process, wall in steps:
         received, clock = sent, clocks[process]
         clock.observe(received, wall)
@@ -43,20 +43,20 @@
 def test_a_clock_far_ahead_does_not_advance_other_clocks():
     # Guards against a VM whose clock is a year ahead: its timestamps reached every
     # process, and the fleet's timeline stayed a year ahead until all were restarted.
-    clock = Clock()
-    clock.observe(Stamp(10**15, 0), now=1000.0)
-    assert clock.tick(1000.0) == Stamp(10**9, 0)
-    clock.observe(Stamp(10**9 + 30_000_000, 5), now=1000.0)
-    assert clock.tick(1000.0) == Stamp(10**9 + 30_000_000, 6)
+    clock = HybridClock()
+    clock.observe(Timestamp(10**15, 0), now=1000.0)
+    assert clock.tick(1000.0) == Timestamp(10**9, 0)
+    clock.observe(Timestamp(10**9 + 30_000_000, 5), now=1000.0)
+    assert clock.tick(1000.0) == Timestamp(10**9 + 30_000_000, 6)
 
 
 @pytest.mark.parametrize(
     "text", ["", ".", "1", "1.x", "-1.0", "1.-1", "٣.٠", "9" * 40 + ".0", None, b"1.0"]
 )
 def test_a_malformed_timestamp_is_ignored(text):
-    clock = Clock(wall=lambda: 1.0)
-    clock.hear(text)
-    assert clock.last == Stamp(0, 0)
+    clock = HybridClock(wall_clock=lambda: 1.0)
+    clock.observe_text(text)
+    assert clock.last == Timestamp(0, 0)
 
 
 def test_responses_carry_timestamps_as_requests_do():
@@ -64,14 +64,17 @@
     # of the entry did not advance past it, and the timeline showed the response after
     # the entry's next event.
     async def body():
-        ahead, behind = Clock(wall=lambda: 1020.0), Clock(wall=lambda: 1000.0)
+        ahead, behind = (
+            HybridClock(wall_clock=lambda: 1020.0),
+            HybridClock(wall_clock=lambda: 1000.0),
+        )
 
         def status(req):
             ahead.tick(1020.0)
             return pb.StatusReply()
 
         server = InnerServer([PeersService(None, status)])
-        observe_clock(server, ahead)
+        exchange_clock(server, ahead)
         await server.start("127.0.0.1", 0)
         host, port = server._server.sockets[0].getsockname()
         channels = Channels(behind)
@@ -92,12 +95,12 @@
     full = EventFile(os.open("/dev/full", os.O_WRONLY))
     eliot.add_destinations(full)
     try:
-        events = Events("vm", Clock(), lambda: 1.0)
+        events = Events("vm", HybridClock(), lambda: 1.0)
         events.emit("process.leaving")
         events.emit("process.stopped")
     finally:
         eliot.remove_destination(full)
-    assert full.lost == 2
+    assert full.lost_events == 2
 
 
 def test_events_with_unserializable_values_are_written(tmp_path):
@@ -130,5 +133,5 @@
             sent.append((kind, fields["why"]))
 
     with pytest.raises(ZeroDivisionError):
-        asyncio.run(repeating(EventRecorder())(0, step))
+        asyncio.run(periodic_with_events(EventRecorder())(0, step))
     assert sent == [("loop.failed", "KeysUnusable: c, a: x")]
--- a/tests/product/test_input_limits.py
+++ b/tests/product/test_input_limits.py
@@ -9,24 +9,24 @@
 import pytest
 from grpclib.const import Cardinality, Status
 from grpclib.exceptions import GRPCError
-from wasabideck_base.channels import LINK_FAILURES, Channels
-from wasabideck_base.events import Clock
-from wasabideck_base.http import HttpClient
-from wasabideck_base.http_answers import PlatformNonsense
+from wasabideck_base.channels import CALL_FAILURES, Channels
+from wasabideck_base.events import HybridClock
+from wasabideck_base.http_client import HttpClient
+from wasabideck_base.http_responses import PlatformNonsense
 from wasabideck_base.inner_limits import (
     MAX_CONCURRENT_STREAMS,
     MAX_MESSAGE_BYTES,
     InnerServer,
 )
-from wasabideck_base.members import Members
+from wasabideck_base.members import MemberListClient
 from wasabideck_base.settings import CallerSettings
-from wasabideck_base.spread import PeersService
+from wasabideck_base.ticket_replication import PeersService
 from wasabideck_entry.caller_limits import HeldConnections, TooManyConnections
 from wasabideck_policy.tickets import MAX_TICKET_BYTES
 from wasabideck_wire import inner_pb2 as pb
-from wasabideck_wire.convert import assignments_from
+from wasabideck_wire.convert import assignments_from_entries
+from wasabideck_wire.errors import MalformedMessage
 from wasabideck_wire.inner_grpc import PeersStub
-from wasabideck_wire.malformed import MalformedMessage
 
 OPERATOR = "sample-operator-token"
 CALLER = "sample-caller-token"
@@ -138,7 +138,7 @@
         server = InnerServer([PeersService(None, lambda _: pb.StatusReply(vm="one"))])
         await server.start("127.0.0.1", 0)
         host, port = server._server.sockets[0].getsockname()
-        channels = Channels(Clock())
+        channels = Channels(HybridClock())
         try:
             return await body(channels.get(f"{host}:{port}"))
         finally:
@@ -195,8 +195,10 @@
     # A process compares its tickets with a peer whose memory is corrupted. An untyped
     # error terminated the loop that receives tickets, and with it the process.
     with pytest.raises(MalformedMessage) as caught:
-        assignments_from([pb.Entry(scope="a", slot="model", ticket=1, change=change)])
-    assert isinstance(caught.value, LINK_FAILURES)
+        assignments_from_entries(
+            [pb.Entry(scope="a", slot="model", ticket=1, change=change)]
+        )
+    assert isinstance(caught.value, CALL_FAILURES)
 
 
 @pytest.mark.parametrize("payload", [b"<html>", b"[1]", b'[{"vm": 1}]', b"{}x", b"7"])
@@ -215,7 +217,7 @@
         async with server, aiohttp.ClientSession() as session:
             client = HttpClient(f"http://{host}:{port}", 5.0, session)
             with pytest.raises(PlatformNonsense) as caught:
-                await Members(client).read(time.monotonic())
+                await MemberListClient(client).read(time.monotonic())
         return caught.value
 
     assert asyncio.run(body()).maybe_applied
--- a/tests/product/test_losses.py
+++ b/tests/product/test_losses.py
@@ -1,7 +1,7 @@
 """The ``losses`` command counts how requests ended, from the event logs of entries."""
 
 import orjson
-from wasabideck_lab.losses import count_by_window, losses, read_ended_requests
+from wasabideck_lab.request_outcomes import count_by_window, losses, read_ended_requests
 from wasabideck_policy.placement import Urgency
 
 
@@ -19,8 +19,8 @@
 
 
 LINES = [
-    line(100.5, first=0.2, urgency=Urgency.FRESH),
-    line(100.6, first=0.9, urgency=Urgency.FRESH, prefix="  0.1 edge-1 "),
+    line(100.5, first=0.2, urgency=Urgency.IN_TIME),
+    line(100.6, first=0.9, urgency=Urgency.IN_TIME, prefix="  0.1 edge-1 "),
     line(100.7, first=0.9, urgency=Urgency.LATE),
     line(101.8, "refused", reason="AllFull"),
     line(101.9),
--- a/tests/product/test_processes.py
+++ b/tests/product/test_processes.py
@@ -6,9 +6,9 @@
 
 import orjson
 from attrs import asdict
-from wasabideck_lab.launcher import OPERATOR_TOKEN, Lab
+from wasabideck_lab.lab_fleet import OPERATOR_TOKEN, LabFleet
 from wasabideck_lab.playground import run_playground
-from wasabideck_lab.toml import to_toml
+from wasabideck_lab.toml_writer import to_toml
 
 SERVICES = [{"name": "orders", "kind": "plain", "repeatable": False}]
 
@@ -46,21 +46,21 @@
     access = tmp_path / "access.toml"
 
     async def body():
-        lab = Lab(tmp_path, tls=asdict(keys))
+        lab = LabFleet(tmp_path, tls=asdict(keys))
         await lab.start_platform()
         try:
             entry = await lab.start_entry("entry-1", SERVICES)
-            await lab.start_plain_vm("order-1", "orders")
+            await lab.start_plain_service_vm("order-1", "orders")
             cfg = {
-                "entry": f"https://{entry.http}",
+                "entry": f"https://{entry.http_address}",
                 "token": OPERATOR_TOKEN,
                 "authority": keys.authority,
             }
             access.write_text(to_toml(cfg))
             found = await asyncio.wait_for(serving_servers(str(access)), 30)
             for process in lab.processes.values():
-                process.process.terminate()
-                process.process.terminate()
+                process.subprocess.terminate()
+                process.subprocess.terminate()
         finally:
             codes = await lab.close()
         return found, codes
--- a/tests/product/test_settings.py
+++ b/tests/product/test_settings.py
@@ -9,8 +9,8 @@
 from wasabideck_base.settings import AccessSettings, AgentSettings
 from wasabideck_base.settings_file import SettingsError, load_settings
 from wasabideck_entry.entry_settings import load_entry_settings
-from wasabideck_lab.samples import sample_files
-from wasabideck_lab.toml import to_toml
+from wasabideck_lab.sample_settings import sample_files
+from wasabideck_lab.toml_writer import to_toml
 from wasabideck_policy.tickets import parse_ticket
 
 SAMPLES = Path(__file__).parents[2] / "samples"
--- a/tests/product/test_timeline.py
+++ b/tests/product/test_timeline.py
@@ -5,8 +5,8 @@
 
 import orjson
 import pytest
+from wasabideck_base.event_kinds import EVENT_KINDS
 from wasabideck_base.metrics import Metrics, render_metrics
-from wasabideck_base.vocabulary import KINDS
 from wasabideck_entry.picture import draw_timeline
 from wasabideck_entry.timeline import EventsUnreadable, merge_events, show_timeline
 
@@ -88,13 +88,13 @@
 
 
 def test_processes_speak_one_vocabulary():
-    assert set(emitted_kinds()) <= KINDS.keys()
+    assert set(emitted_kinds()) <= EVENT_KINDS.keys()
 
 
 def test_operations_explains_every_kind_of_event():
     text = (ROOT / "docs" / "OPERATIONS.md").read_text()
-    for name, kind in KINDS.items():
-        row = f"| `{name}` | {kind.meaning} | {kind.todo or '-'} |"
+    for name, kind in EVENT_KINDS.items():
+        row = f"| `{name}` | {kind.meaning} | {kind.operator_action or '-'} |"
         assert row in text
 
 
@@ -131,7 +131,7 @@
     metrics = Metrics()
     for number in range(10_050):
         metrics.count("attempt.sent", {"request": str(number)})
-    assert len(metrics._tried) == 10_000
+    assert len(metrics._attempted_requests) == 10_000
 
 
 def error_names():
--- a/tests/product/test_tls.py
+++ b/tests/product/test_tls.py
@@ -6,11 +6,11 @@
 import pytest
 from attrs import evolve
 from grpclib.server import Server
-from wasabideck_base.channels import LINK_FAILURES, Channels
-from wasabideck_base.events import Clock
+from wasabideck_base.channels import CALL_FAILURES, Channels
+from wasabideck_base.events import HybridClock
 from wasabideck_base.settings import AccessSettings
-from wasabideck_base.spread import PeersService
-from wasabideck_base.tls import Keys, KeysUnusable
+from wasabideck_base.ticket_replication import PeersService
+from wasabideck_base.tls import KeysUnusable, TlsContexts
 from wasabideck_entry.operator_client import EntryRefused, OperatorClient
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.inner_grpc import PeersStub
@@ -19,7 +19,7 @@
 
 
 async def status_vm(address, context):
-    channels = Channels(Clock(), context)
+    channels = Channels(HybridClock(), context)
     try:
         stub = PeersStub(channels.get(address))
         return (await stub.Status(pb.StatusRequest(), timeout=5)).vm
@@ -39,9 +39,9 @@
 ):
     # An attacker in the network connects to an agent's port and sends requests and
     # tickets. Without client certificates the agent would accept them.
-    fleet = Keys(fleet_authority.issue("one"))
-    peer = Keys(fleet_authority.issue("two"))
-    foreign = Keys(
+    fleet = TlsContexts(fleet_authority.issue("one"))
+    peer = TlsContexts(fleet_authority.issue("two"))
+    foreign = TlsContexts(
         evolve(other_authority.issue("three"), authority=str(fleet_authority.file))
     )
     without_certificate = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
@@ -53,7 +53,7 @@
         server, address = await start_server(fleet.inner_server)
         assert await status_vm(address, peer.inner_client) == "one"
         for context in (foreign.inner_client, without_certificate, None):
-            with pytest.raises(LINK_FAILURES):
+            with pytest.raises(CALL_FAILURES):
                 await status_vm(address, context)
         assert await status_vm(address, peer.inner_client) == "one"
         server.close()
@@ -64,12 +64,12 @@
 def test_a_process_sends_nothing_to_an_unknown_server(fleet_authority, other_authority):
     # A VM's IP address is reassigned to another machine, which receives the requests
     # for the VM. The client must verify the server's certificate as well.
-    foreign = Keys(other_authority.issue("one"))
-    peer = Keys(fleet_authority.issue("two"))
+    foreign = TlsContexts(other_authority.issue("one"))
+    peer = TlsContexts(fleet_authority.issue("two"))
 
     async def body():
-        server, address = await start_server(foreign.http)
-        with pytest.raises(LINK_FAILURES):
+        server, address = await start_server(foreign.caller_server)
+        with pytest.raises(CALL_FAILURES):
             await status_vm(address, peer.inner_client)
         server.close()
 
@@ -82,21 +82,21 @@
     # Certificates are replaced before they expire. A process that keeps the old one
     # until it restarts is rejected by the fleet when the old one expires.
     files = fleet_authority.issue("one")
-    keys = Keys(files)
-    newer = Keys(other_authority.issue("two"))
+    keys = TlsContexts(files)
+    newer = TlsContexts(other_authority.issue("two"))
 
     async def body():
         server, address = await start_server(keys.inner_server)
-        with pytest.raises(LINK_FAILURES):
+        with pytest.raises(CALL_FAILURES):
             await status_vm(address, newer.inner_client)
-        assert not keys.refresh()
+        assert not keys.reload_if_changed()
         reissued = other_authority.issue("one")
         for name in ("certificate", "key", "authority"):
             with open(getattr(reissued, name), "rb") as file:
                 data = file.read()
             with open(getattr(files, name), "wb") as file:
                 file.write(data)
-        assert keys.refresh()
+        assert keys.reload_if_changed()
         assert await status_vm(address, newer.inner_client) == "one"
         server.close()
 
@@ -107,8 +107,8 @@
     # A certificate is replaced shortly before its key. If the files were loaded
     # in this state, every handshake would fail until the next change.
     files = fleet_authority.issue("one")
-    keys = Keys(files)
-    peer = Keys(fleet_authority.issue("two"))
+    keys = TlsContexts(files)
+    peer = TlsContexts(fleet_authority.issue("two"))
     with open(files.certificate, "rb") as file:
         old_certificate = file.read()
 
@@ -119,11 +119,11 @@
         with open(files.certificate, "wb") as file:
             file.write(new_certificate)
         with pytest.raises(KeysUnusable):
-            keys.refresh()
+            keys.reload_if_changed()
         assert await status_vm(address, peer.inner_client) == "one"
         with open(files.certificate, "wb") as file:
             file.write(old_certificate)
-        assert keys.refresh()
+        assert keys.reload_if_changed()
         assert await status_vm(address, peer.inner_client) == "one"
         server.close()
 
@@ -133,7 +133,7 @@
 def test_missing_keys_abort_startup(tmp_path, fleet_authority):
     files = evolve(fleet_authority.issue("one"), key=str(tmp_path / "absent"))
     with pytest.raises(KeysUnusable) as caught:
-        Keys(files)
+        TlsContexts(files)
     assert files.certificate in str(caught.value)
 
 
--- a/tests/sessions/test_answers_session.py
+++ b/tests/sessions/test_answers_session.py
@@ -3,15 +3,22 @@
 import asyncio
 import random
 
-from answers_fakes import FakeAgent, FakeEngine, FakeEvents, FakePlain, FakeTable, Now
+from agent_entry_fakes import (
+    FakeAgent,
+    FakeEngine,
+    FakeEvents,
+    FakePlain,
+    FakeTable,
+    Now,
+)
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock
-from wasabideck_base.servers import ServerFailed
+from wasabideck_base.events import HybridClock
+from wasabideck_base.server_clients import ServerFailed
 from wasabideck_entry.calls import Call, Caller, Ended, Part, Started
 from wasabideck_entry.resolve import Resolver
 from wasabideck_entry.suspects import Suspects
+from wasabideck_policy.load_balancing import ServerState
 from wasabideck_policy.quarantine import Quarantine
-from wasabideck_policy.routing import Server
 
 
 class Fleet:
@@ -27,7 +34,9 @@
 
     def candidates(self, service, excluded):
         return [
-            Server(a.vm, service, a.address, manifest="m1", incarnation=a.incarnation)
+            ServerState(
+                a.vm, service, a.address, manifest="m1", incarnation=a.incarnation
+            )
             for a in self.agents
             if a.vm.startswith(service) and a.vm not in excluded
         ]
@@ -49,7 +58,7 @@
     events = FakeEvents()
     caller = Caller(
         Fleet(agents),
-        Channels(Clock()),
+        Channels(HybridClock()),
         events,
         lambda servers, ask, now, rng: servers[0],
         random.Random(rng.random()),
