--- a/tests/sessions/test_burst_session.py
+++ b/tests/sessions/test_burst_session.py
@@ -8,11 +8,11 @@
 from collections import Counter
 from itertools import count
 
-from wasabideck_lab.load_mix import DEPLOYMENTS, arrivals
-from wasabideck_policy.admission import Gate, admit, late_refusal
-from wasabideck_policy.affinity import prefix_name
-from wasabideck_policy.fair_queue import Waiting
-from wasabideck_policy.routing import Ask, Server, priced
+from wasabideck_lab.load_workload import DEPLOYMENTS, draw_arrivals
+from wasabideck_policy.admission import AdmissionControl, admit, timeout_refusal
+from wasabideck_policy.cache_affinity import prefix_digest
+from wasabideck_policy.fair_queue import WaitingRequest
+from wasabideck_policy.load_balancing import RoutingRequest, ServerState, choose_by_cost
 
 SECONDS = 20.0
 REPORT_SECONDS = 0.5
@@ -26,9 +26,12 @@
     def __init__(self, seed):
         self.rng = random.Random(seed)
         vms = [f"draft-{i}" for i in range(6)]
-        self.gates = {vm: Gate(CAPACITY, SERVICE_SECONDS, open=True) for vm in vms}
+        self.gates = {
+            vm: AdmissionControl(CAPACITY, SERVICE_SECONDS, accepting=True)
+            for vm in vms
+        }
         self.views = [
-            [Server(vm, "drafting", "", "here") for vm in vms] for _ in range(2)
+            [ServerState(vm, "drafting", "", "here") for vm in vms] for _ in range(2)
         ]
         self.outcomes = {}
         self.arrival_of = {}
@@ -55,12 +58,14 @@
             self.schedule(now + REPORT_SECONDS, self.report)
 
     def arrive(self, now, arrival):
-        ask = Ask(prefix_name(arrival.body.encode()), "here")
+        ask = RoutingRequest(prefix_digest(arrival.body.encode()), "here")
         view = self.views[arrival.region % 2]
-        server = priced(view, ask, now, self.rng)
+        server = choose_by_cost(view, ask, now, self.rng)
         gate = self.gates[server.vm]
         kind = arrival.kind
-        waiting = Waiting(arrival.organisation, kind.priority, now, now + kind.deadline)
+        waiting = WaitingRequest(
+            arrival.organisation, kind.priority, now, now + kind.deadline
+        )
         self.arrival_of[waiting] = arrival
         if refusal := admit(gate, waiting, now):
             self.outcomes[waiting] = ("refused at once", refusal.retry_after > 0)
@@ -74,9 +79,9 @@
         for waiting in gate.queue.late(now, gate.service_time):
             gate.queue.remove(waiting)
             self.sent_to[waiting].in_progress -= 1
-            retry_after = late_refusal(gate, waiting, now).retry_after
+            retry_after = timeout_refusal(gate, waiting, now).retry_after
             self.outcomes[waiting] = ("refused later", retry_after > 0)
-        while waiting := gate.next(now):
+        while waiting := gate.start_next(now):
             seconds = SERVICE_SECONDS * self.rng.uniform(0.8, 1.2)
             self.schedule(now + seconds, self.end, gate, waiting, seconds)
 
@@ -91,9 +96,9 @@
 def test_burst(data_regression):
     session = Session(seed=1)
     session.schedule(0.0, session.report)
-    for arrival in arrivals(DEPLOYMENTS["rent"], 3.0, SECONDS, random.Random(1)):
+    for arrival in draw_arrivals(DEPLOYMENTS["rent"], 3.0, SECONDS, random.Random(1)):
         if arrival.kind.service == "drafting":
-            session.schedule(arrival.due, session.arrive, arrival)
+            session.schedule(arrival.due_seconds, session.arrive, arrival)
     session.run()
     assert len(session.outcomes) == len(session.arrival_of)
     assert all(valid for _, valid in session.outcomes.values())
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -3,16 +3,16 @@
 import asyncio
 
 import pytest
-from answers_fakes import (
+from agent_entry_fakes import (
     FakeEngine,
-    Gated,
+    GatedEngine,
     answer,
     call,
-    caller_of,
     draft,
-    engine_agent,
+    make_caller,
+    make_engine_agent,
     make_stream,
-    server_of,
+    make_target,
 )
 from wasabideck_agent import attempts
 from wasabideck_agent.attempts import MAX_UNSENT_BYTES
@@ -31,10 +31,10 @@
     """
 
     async def body():
-        one = await engine_agent(engine=Gated()).serve()
+        one = await make_engine_agent(engine=GatedEngine()).serve()
         relay = Relay(lambda: one.address)
         await relay.start()
-        stream = make_stream(server_of(one, address=relay.address), draft(), one.now)
+        stream = make_stream(make_target(one, address=relay.address), draft(), one.now)
         offsets, text = [], b""
         one.engine.turn.release()
         async for event in stream.run():
@@ -60,8 +60,8 @@
     """
 
     async def body():
-        new = await engine_agent(incarnation="inc-2").serve()
-        server = server_of(new)
+        new = await make_engine_agent(incarnation="inc-2").serve()
+        server = make_target(new)
         server.incarnation = "inc-1"
         stream = make_stream(server, draft(), new.now)
         stream.sent = True
@@ -83,8 +83,8 @@
     """
 
     async def body():
-        one = await engine_agent(engine=Gated()).serve()
-        stream = make_stream(server_of(one), draft(), one.now)
+        one = await make_engine_agent(engine=GatedEngine()).serve()
+        stream = make_stream(make_target(one), draft(), one.now)
         outcome = None
         async for event in stream.run():
             if event.HasField("started"):
@@ -97,7 +97,7 @@
 
 def test_a_run_request_that_arrives_after_its_cancel_does_not_run():
     async def body():
-        one = engine_agent()
+        one = make_engine_agent()
         req = pb.CancelRequest(attempt="d1", incarnation="inc-1", not_after_ms=110_000)
         assert await one.runner.cancel(req)
         final = await one.run(draft())
@@ -115,9 +115,9 @@
     """
 
     async def body():
-        dying = await engine_agent("draft-1", engine_kw={"dies_at": 2}).serve()
-        other = await engine_agent("draft-2").serve()
-        caller = caller_of(server_of(dying), server_of(other))
+        dying = await make_engine_agent("draft-1", engine_kw={"dies_at": 2}).serve()
+        other = await make_engine_agent("draft-2").serve()
+        caller = make_caller(make_target(dying), make_target(other))
         text, outcome = await answer(caller, call())
         assert (text, outcome) == (b"w0 w1 w2 w3 ", Answered())
         job = other.engine.jobs[0]
@@ -136,11 +136,11 @@
     """
 
     async def body():
-        dying = await engine_agent("draft-1", engine_kw={"dies_at": 2}).serve()
-        other = await engine_agent("draft-2").serve()
+        dying = await make_engine_agent("draft-1", engine_kw={"dies_at": 2}).serve()
+        other = await make_engine_agent("draft-2").serve()
         other.runner.serving = other.runner.serving.__class__(2, "d", "v2", "m2")
         seen = "m2" if known else "m1"
-        caller = caller_of(server_of(dying), server_of(other, manifest=seen))
+        caller = make_caller(make_target(dying), make_target(other, manifest=seen))
         text, outcome = await answer(caller, call())
         assert text == b"w0 w1 "
         assert isinstance(outcome, Unknown)
@@ -158,10 +158,10 @@
     """
 
     async def body():
-        dying = await engine_agent("draft-1", engine_kw={"dies_at": 0}).serve()
-        full = await engine_agent("draft-2").serve()
+        dying = await make_engine_agent("draft-1", engine_kw={"dies_at": 0}).serve()
+        full = await make_engine_agent("draft-2").serve()
         full.runner.gate.leaving = True
-        caller = caller_of(server_of(dying), server_of(full))
+        caller = make_caller(make_target(dying), make_target(full))
         _, outcome = await answer(caller, call())
         assert isinstance(outcome, Unknown)
         assert outcome.failure.kind == "Leaving"
@@ -179,7 +179,7 @@
 
     async def body():
         words = 3000
-        one = engine_agent(engine=FakeEngine(words=words, word="x" * 400))
+        one = make_engine_agent(engine=FakeEngine(words=words, word="x" * 400))
         attempt = one.runner.start(draft())
         while attempt._unsent_bytes <= MAX_UNSENT_BYTES:
             await asyncio.sleep(0)
@@ -208,14 +208,14 @@
     monkeypatch.setattr(attempts, "MAX_ENDED_BYTES", 2000)
 
     async def body():
-        one = engine_agent(engine=FakeEngine(word="x" * 200))
+        one = make_engine_agent(engine=FakeEngine(word="x" * 200))
         for number in range(4):
             await one.run(draft(f"d{number}"))
             one.now.at += 1
         one.runner.attempts.remove_expired(one.now.at)
         kept = [one.runner.attempts.get(f"d{n}").size > 0 for n in range(4)]
         assert kept == [False, False, True, True]
-        server = server_of(await one.serve())
+        server = make_target(await one.serve())
         stream = make_stream(server, draft("d0"), one.now)
         events = [event async for event in stream.run()]
         assert events[-1].final.reason == "EventsForgotten"
@@ -226,8 +226,8 @@
 
 def test_a_caller_that_disconnects_cancels_the_engines_work():
     async def body():
-        one = await engine_agent(engine=Gated()).serve()
-        caller = caller_of(server_of(one), now=one.now)
+        one = await make_engine_agent(engine=GatedEngine()).serve()
+        caller = make_caller(make_target(one), now=one.now)
         one.engine.turn.release()
         items = caller.run(call())
         async for item in items:
@@ -245,7 +245,7 @@
     """An entry dies with drafts in progress, so it never sends a cancel."""
 
     async def body():
-        one = engine_agent(engine=Gated())
+        one = make_engine_agent(engine=GatedEngine())
         attempt = one.runner.start(draft())
         with attempt.reading(one.now):
             await asyncio.sleep(0)
--- a/tests/test_once.py
+++ b/tests/test_at_most_once.py
@@ -3,10 +3,10 @@
 import asyncio
 
 import pytest
-from answers_fakes import FakeAgent, FakePlain, FakeTable, order
+from agent_entry_fakes import FakeAgent, FakePlain, FakeTable, order
 from wasabideck_agent.runs_service import RunsService
-from wasabideck_base.claim_rows import stored_answer
-from wasabideck_base.servers import ServerDied, ServerFailed, ServerRefused
+from wasabideck_base.claim_rows import stored_response
+from wasabideck_base.server_clients import ServerDied, ServerFailed, ServerRefused
 from wasabideck_policy.claims import Claim, claim_key
 from wasabideck_wire import inner_pb2 as pb
 
@@ -93,7 +93,7 @@
         one = agent(FakeTable(plan=["ok", "down", "lost", "down"]))
         assert (await one.run(order())).outcome == ANSWERED
         await wait_until(lambda: not one.runner.once.unrecorded)
-        assert stored_answer(row(one.table)) == b"receipt of k1"
+        assert stored_response(row(one.table)) == b"receipt of k1"
         again = await one.run(order("a2"))
         assert (again.replayed, one.plain.runs) == (True, {"k1": 1})
 
@@ -267,7 +267,7 @@
         one.table.hold.set()
         verdicts = await asyncio.gather(*takes)
         assert {verdict.action for verdict in verdicts} == {"run"}
-        assert one.table.transactions <= store.batch.senders + 1
+        assert one.table.transactions <= store.batch.max_senders + 1
         assert len(one.table.rows) == 20
 
     asyncio.run(body())
--- a/tests/test_arrivals_stateful.py
+++ b/tests/test_attempt_registry_stateful.py
@@ -9,46 +9,50 @@
     rule,
     run_state_machine_as_test,
 )
-from wasabideck_policy.arrivals import ARRIVAL_SECONDS, KEEP_SECONDS, Arrivals
+from wasabideck_policy.attempt_registry import (
+    KEEP_SECONDS,
+    MAX_REQUEST_AGE_SECONDS,
+    AttemptRegistry,
+)
 
 NAMES = st.integers(0, 1)
 
 
-class AcceptsLateArrivals(Arrivals):
+class AcceptsLateArrivals(AttemptRegistry):
     """Broken: accepts a request however late it arrives."""
 
-    def arrive(self, name, incarnation, not_after, now):
-        return super().arrive(name, incarnation, now, now)
+    def record_arrival(self, name, incarnation, not_after, now):
+        return super().record_arrival(name, incarnation, now, now)
 
 
-class AcceptsAnyProcess(Arrivals):
+class AcceptsAnyProcess(AttemptRegistry):
     """Broken: does not check which agent process a request is meant for."""
 
-    def arrive(self, name, incarnation, not_after, now):
-        return super().arrive(name, self.incarnation, not_after, now)
+    def record_arrival(self, name, incarnation, not_after, now):
+        return super().record_arrival(name, self.incarnation, not_after, now)
 
-    def give_up(self, name, incarnation, not_after, now):
-        return super().give_up(name, self.incarnation, not_after, now)
+    def cancel(self, name, incarnation, not_after, now):
+        return super().cancel(name, self.incarnation, not_after, now)
 
 
-class ForgetsTooSoon(Arrivals):
+class ForgetsTooSoon(AttemptRegistry):
     """Broken: forgets tombstones while the request may still arrive."""
 
-    def forget_old(self, now):
-        return super().forget_old(now + KEEP_SECONDS)
+    def remove_expired(self, now):
+        return super().remove_expired(now + KEEP_SECONDS)
 
 
-class AlwaysCertain(Arrivals):
+class AlwaysCertain(AttemptRegistry):
     """Broken: treats a forgotten attempt as one that never arrived."""
 
-    def give_up(self, name, incarnation, not_after, now):
-        return super().give_up(name, incarnation, now + ARRIVAL_SECONDS, now)
+    def cancel(self, name, incarnation, not_after, now):
+        return super().cancel(name, incarnation, now + MAX_REQUEST_AGE_SECONDS, now)
 
 
 class ArrivalsMachine(RuleBasedStateMachine):
     """One address; requests arrive late, twice or never, and processes die."""
 
-    kind = Arrivals
+    kind = AttemptRegistry
 
     def __init__(self):
         super().__init__()
@@ -73,12 +77,12 @@
         name = data.draw(st.sampled_from(sorted(self.sent)))
         incarnation, sent_at = self.sent[name]
         known = name in self.arrivals._arrived
-        refusal = self.arrivals.arrive(
-            name, incarnation, sent_at + ARRIVAL_SECONDS, self.now
+        refusal = self.arrivals.record_arrival(
+            name, incarnation, sent_at + MAX_REQUEST_AGE_SECONDS, self.now
         )
         if not known and not refusal:
             self.runs[name] = self.runs.get(name, 0) + 1
-            self.arrivals.end(name, self.now)
+            self.arrivals.record_end(name, self.now)
         assert self.runs.get(name, 0) <= 1
         assert name not in self.certain or name not in self.runs
 
@@ -87,16 +91,16 @@
     def give_up(self, data):
         name = data.draw(st.sampled_from(sorted(self.sent)))
         incarnation, sent_at = self.sent[name]
-        if self.arrivals.give_up(
-            name, incarnation, sent_at + ARRIVAL_SECONDS, self.now
+        if self.arrivals.cancel(
+            name, incarnation, sent_at + MAX_REQUEST_AGE_SECONDS, self.now
         ):
             self.certain.add(name)
         assert name not in self.certain or name not in self.runs
 
-    @rule(seconds=st.sampled_from([1.0, ARRIVAL_SECONDS, KEEP_SECONDS]))
+    @rule(seconds=st.sampled_from([1.0, MAX_REQUEST_AGE_SECONDS, KEEP_SECONDS]))
     def wait(self, seconds):
         self.now += seconds
-        self.arrivals.forget_old(self.now)
+        self.arrivals.remove_expired(self.now)
 
     @rule()
     def restart(self):
--- a/tests/test_claims_stateful.py
+++ b/tests/test_claims_stateful.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from answers_fakes import FakeEvents, FakeTable
+from agent_entry_fakes import FakeEvents, FakeTable
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -13,27 +13,27 @@
 )
 from wasabideck_agent import claim_store
 from wasabideck_agent.claim_store import ClaimStore
-from wasabideck_base.http_answers import PlatformUnavailable
-from wasabideck_policy.claims import DONE, Claim, Verdict, judge
+from wasabideck_base.http_responses import PlatformUnavailable
+from wasabideck_policy.claims import DONE, Claim, Decision, decide
 
 WORDS = st.lists(st.sampled_from(["ok", "lost", "late", "late", "down"]), max_size=5)
 
 
 def takes_running_claims(wanted, found):
     """Broken: takes a running claim from its holder, as if it had expired."""
-    verdict = judge(wanted, found)
-    return Verdict("run", found) if verdict.action == "ask-holder" else verdict
+    verdict = decide(wanted, found)
+    return Decision("run", found) if verdict.action == "ask-holder" else verdict
 
 
 def reruns_done_calls(wanted, found):
     """Broken: runs a call again that is done."""
-    return Verdict("run", found) if found.state == DONE else judge(wanted, found)
+    return Decision("run", found) if found.state == DONE else decide(wanted, found)
 
 
 class ClaimsMachine(RuleBasedStateMachine):
     """Attempts with the same key, some of whose agents die at any point."""
 
-    judge = staticmethod(judge)
+    decide = staticmethod(decide)
 
     def __init__(self):
         super().__init__()
@@ -43,10 +43,10 @@
         self.attempts = 0
         self.runs = 0
         self.running = None
-        claim_store.judge = self.judge
+        claim_store.decide = self.decide
 
     def teardown(self):
-        claim_store.judge = judge
+        claim_store.decide = decide
         self.loop.close()
 
     @rule(words=WORDS, dies=st.booleans(), refused=st.booleans())
@@ -58,7 +58,7 @@
         claim = Claim("org-1", "k1", "digest", f"a{self.attempts}", "vm")
         self.table.plan = list(words)
         try:
-            verdict = await self.store.take(claim)
+            verdict = await self.store.acquire(claim)
         except PlatformUnavailable as exc:
             self.table.plan = []
             if exc.maybe_applied and not dies:
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("broken", [takes_running_claims, reruns_done_calls])
 def test_the_machine_catches_a_broken_verdict(broken):
-    machine = type("Broken", (ClaimsMachine,), {"judge": staticmethod(broken)})
+    machine = type("Broken", (ClaimsMachine,), {"decide": staticmethod(broken)})
     with pytest.raises(AssertionError):
         run_state_machine_as_test(machine, settings=BROKEN)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,13 +1,13 @@
 """Admission control, the order of waiting requests, and the concurrency limit."""
 
 import pytest
-from wasabideck_policy.admission import RESERVE_SECONDS, Gate, admit
-from wasabideck_policy.concurrency import AdaptiveLimit
-from wasabideck_policy.fair_queue import AGING_SECONDS, FairQueue, Waiting
+from wasabideck_policy.admission import RESERVE_SECONDS, AdmissionControl, admit
+from wasabideck_policy.concurrency_limit import AdaptiveConcurrencyLimit
+from wasabideck_policy.fair_queue import AGING_SECONDS, FairQueue, WaitingRequest
 
 
 def waiting(organisation="org-1", priority=1, since=0.0, deadline=1e9):
-    return Waiting(organisation, priority, since, deadline)
+    return WaitingRequest(organisation, priority, since, deadline)
 
 
 def dequeue_all(queue, now=0.0):
@@ -20,13 +20,13 @@
 
 @pytest.fixture
 def gate():
-    return Gate(capacity=8, service_time=1.0, open=True)
+    return AdmissionControl(capacity=8, service_seconds=1.0, accepting=True)
 
 
 def fill(gate, count, **fields):
     for _ in range(count):
         gate.queue.add(waiting(**fields))
-        gate.next(0.0)
+        gate.start_next(0.0)
 
 
 def test_a_dispute_starts_before_greetings_that_arrived_earlier():
@@ -89,14 +89,14 @@
     fill(gate, 20, priority=2)
     assert gate.running == 6
     gate.queue.add(waiting(priority=0))
-    assert gate.next(0.0).priority == 0
+    assert gate.start_next(0.0).priority == 0
 
 
 def test_no_slot_is_reserved_if_no_urgent_requests_arrive(gate):
     gate.reserve_until = RESERVE_SECONDS
     fill(gate, 20, priority=2)
     assert gate.running == 6
-    while gate.next(RESERVE_SECONDS):
+    while gate.start_next(RESERVE_SECONDS):
         pass
     assert gate.running == 8
 
@@ -139,7 +139,7 @@
     for _ in range(20):
         gate.running -= 1
         gate.queue.add(waiting(priority=1))
-        gate.next(0.0)
+        gate.start_next(0.0)
     assert gate.expected_wait(waiting(priority=2), 0.0) > 2 * before
 
 
@@ -147,7 +147,7 @@
 def test_the_limit_approaches_the_slots_of_a_server_without_load_reports(slots):
     # The settings allow 32 concurrent requests. The server runs a few of them and
     # queues the others internally, without regard to classes and organisations.
-    limit = AdaptiveLimit(limit=32, most=32)
+    limit = AdaptiveConcurrencyLimit(limit=32, max_limit=32)
     for _ in range(1990):
         running = limit.slots
         limit.observe(0.02 * max(1.0, running / slots), running)
@@ -155,14 +155,18 @@
 
 
 def test_the_limit_increases_when_the_server_becomes_faster():
-    limit = AdaptiveLimit(limit=2, most=16, min_seconds=0.02, seconds=0.02)
+    limit = AdaptiveConcurrencyLimit(
+        limit=2, max_limit=16, min_seconds=0.02, seconds=0.02
+    )
     for _ in range(500):
         limit.observe(0.02, limit.slots)
     assert limit.slots == 16
 
 
 def test_the_limit_decreases_soon_when_requests_queue_in_the_server():
-    limit = AdaptiveLimit(limit=16, most=16, min_seconds=0.02, seconds=0.02)
+    limit = AdaptiveConcurrencyLimit(
+        limit=16, max_limit=16, min_seconds=0.02, seconds=0.02
+    )
     for _ in range(100):
         running = limit.slots
         limit.observe(0.02 * max(1.0, running / 4), running)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -5,9 +5,9 @@
 import pytest
 from wasabideck_base.command_line import commands, run_commands
 from wasabideck_entry.entry_settings import load_entry_settings
-from wasabideck_lab.load_mix import DEPLOYMENTS, arrivals
 from wasabideck_lab.load_report import fair_shares, jains_index, percentiles
-from wasabideck_lab.toml import to_toml
+from wasabideck_lab.load_workload import DEPLOYMENTS, draw_arrivals
+from wasabideck_lab.toml_writer import to_toml
 
 
 @pytest.mark.parametrize("name", DEPLOYMENTS)
@@ -26,7 +26,7 @@
 
 def test_arrivals_have_the_burst_rate_and_all_organisations():
     deployment = DEPLOYMENTS["rent"]
-    found = list(arrivals(deployment, 3.0, 60.0, random.Random(1)))
+    found = list(draw_arrivals(deployment, 3.0, 60.0, random.Random(1)))
     assert len(found) == pytest.approx(3.0 * 60 * deployment.request_rate(), rel=0.05)
     assert len({a.organisation for a in found}) == 10
 
--- a/tests/test_routing.py
+++ b/tests/test_load_balancing.py
@@ -5,24 +5,33 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from wasabideck_policy.affinity import GAP_EXPIRY_SECONDS, CacheView, home_server
+from wasabideck_policy.cache_affinity import (
+    GAP_EXPIRY_SECONDS,
+    PrefixCacheView,
+    home_server,
+)
+from wasabideck_policy.load_balancing import (
+    RoutingRequest,
+    ServerState,
+    choose_by_cost,
+    two_choices,
+)
 from wasabideck_policy.membership import AGENT, Member
-from wasabideck_policy.observation import KEEP_SECONDS, join
-from wasabideck_policy.outliers import Outliers
-from wasabideck_policy.routing import Ask, Server, priced, two_choices
+from wasabideck_policy.outliers import OutlierEjection
 from wasabideck_policy.subsets import (
     OWN_REGION,
     POLLS_PER_SECOND,
-    poll_pause,
+    poll_interval,
     subset,
 )
+from wasabideck_policy.vm_state import KEEP_SECONDS, merge_list
 
 NOW = 100.0
 
 
 def servers(count, region="here", **fields):
     return [
-        Server(f"{region}-{i}", "drafting", "", region, heard_at=NOW, **fields)
+        ServerState(f"{region}-{i}", "drafting", "", region, heard_at=NOW, **fields)
         for i in range(count)
     ]
 
@@ -43,24 +52,24 @@
     # requests to the report, that server would get the whole burst.
     deployed = servers(4, reported=6)
     deployed[0].reported = 0
-    counts = count_requests(two_choices, deployed, Ask(), rng, 200)
+    counts = count_requests(two_choices, deployed, RoutingRequest(), rng, 200)
     assert max(counts.values()) < 200 / 4 * 1.3
 
 
 def test_a_slow_server_gets_fewer_requests(rng):
     deployed = servers(4, service_time=1.0)
     deployed[0].service_time = 2.0
-    counts = count_requests(two_choices, deployed, Ask(), rng, 400)
+    counts = count_requests(two_choices, deployed, RoutingRequest(), rng, 400)
     assert 0.4 < counts["here-0"] / counts["here-1"] < 0.65
 
 
 def test_a_prefix_stays_at_its_home_server_until_that_is_full(rng):
     deployed = servers(6, service_time=0.6)
-    ask = Ask("prefix", "here")
+    ask = RoutingRequest("prefix", "here")
     prefix_home = home_server("prefix", deployed)
-    assert priced(deployed, ask, NOW, rng) is prefix_home
+    assert choose_by_cost(deployed, ask, NOW, rng) is prefix_home
     prefix_home.prefixes = ["prefix"]
-    counts = count_requests(priced, deployed, ask, rng, 120)
+    counts = count_requests(choose_by_cost, deployed, ask, rng, 120)
     # More than an even share, but far fewer than all requests.
     assert 20 < counts[prefix_home.vm] < 60
 
@@ -69,7 +78,9 @@
     deployed = servers(6)
     holder = next(s for s in deployed if s is not home_server("prefix", deployed))
     holder.prefixes = ["prefix"]
-    assert priced(deployed, Ask("prefix", "here"), NOW, rng) is holder
+    assert (
+        choose_by_cost(deployed, RoutingRequest("prefix", "here"), NOW, rng) is holder
+    )
 
 
 def test_the_own_region_is_preferred_until_it_is_loaded(rng):
@@ -78,28 +89,32 @@
         server.service_time = 0.6
     for server in local:
         server.reported = 1
-    ask = Ask(region="here")
-    assert all(priced(local + remote, ask, NOW, rng) in local for _ in range(30))
+    ask = RoutingRequest(region="here")
+    assert all(
+        choose_by_cost(local + remote, ask, NOW, rng) in local for _ in range(30)
+    )
     for server in local:
         server.reported = 8
-    assert all(priced(local + remote, ask, NOW, rng) in remote for _ in range(30))
+    assert all(
+        choose_by_cost(local + remote, ask, NOW, rng) in remote for _ in range(30)
+    )
 
 
 def test_known_prefixes_expire_after_a_gap_in_the_cache_events():
     # The event that reports the removal of a prefix is lost. The entry would continue
     # to send its requests to a server that reads the whole prompt each time.
-    view = CacheView()
+    view = PrefixCacheView()
     view.apply([(1, "a", True), (2, "b", True)], NOW)
     view.apply([(4, "c", True)], NOW + 1)
-    assert view.held(NOW + 1) == ["a", "b", "c"]
-    assert view.held(NOW + 2 + GAP_EXPIRY_SECONDS) == ["c"]
+    assert view.cached_prefixes(NOW + 1) == ["a", "b", "c"]
+    assert view.cached_prefixes(NOW + 2 + GAP_EXPIRY_SECONDS) == ["c"]
 
 
 def test_late_cache_events_do_not_restore_a_prefix():
-    view = CacheView()
+    view = PrefixCacheView()
     view.apply([(1, "a", True), (2, "a", False)], NOW)
     view.apply([(1, "a", True)], NOW)
-    assert view.held(NOW) == []
+    assert view.cached_prefixes(NOW) == []
 
 
 @given(st.integers(1, 40), st.integers(0, 300))
@@ -126,31 +141,31 @@
 
 def test_the_poll_rate_does_not_grow_with_the_number_of_servers():
     for count in (1, 12, 60, 1400):
-        assert count / poll_pause(count) <= max(POLLS_PER_SECOND, count / 0.25)
-    assert 1400 / poll_pause(1400) == pytest.approx(POLLS_PER_SECOND)
+        assert count / poll_interval(count) <= max(POLLS_PER_SECOND, count / 0.25)
+    assert 1400 / poll_interval(1400) == pytest.approx(POLLS_PER_SECOND)
 
 
 def test_a_failing_server_is_ejected_and_used_again_later():
-    outliers = Outliers()
+    outliers = OutlierEjection()
     vms = ["a", "b", "c"]
     for _ in range(3):
-        outliers.failed("a", NOW)
-    assert outliers.sound(vms, NOW) == {"b", "c"}
-    assert outliers.sound(vms, NOW + 2) == {"a", "b", "c"}
-    outliers.failed("a", NOW + 2)
-    assert outliers.out("a", NOW + 3.5)
-    outliers.succeeded("a")
-    assert not outliers.out("a", NOW + 3.5)
+        outliers.record_failure("a", NOW)
+    assert outliers.healthy(vms, NOW) == {"b", "c"}
+    assert outliers.healthy(vms, NOW + 2) == {"a", "b", "c"}
+    outliers.record_failure("a", NOW + 2)
+    assert outliers.is_ejected("a", NOW + 3.5)
+    outliers.record_success("a")
+    assert not outliers.is_ejected("a", NOW + 3.5)
 
 
 def test_a_fault_of_all_servers_ejects_none_of_them():
     # The store of a service fails, and all servers with it. If they were ejected one by
     # one, the last server would get the whole load, and crash.
-    outliers = Outliers()
+    outliers = OutlierEjection()
     for vm in ("a", "b", "c"):
         for _ in range(3):
-            outliers.failed(vm, NOW)
-    assert outliers.sound(["a", "b", "c"], NOW) == {"a", "b", "c"}
+            outliers.record_failure(vm, NOW)
+    assert outliers.healthy(["a", "b", "c"], NOW) == {"a", "b", "c"}
 
 
 def member(vm="a", address="1", leaving=False):
@@ -158,17 +173,17 @@
 
 
 def test_a_reported_shutdown_stays_known_while_the_list_is_delayed():
-    known = join({}, [member()], NOW)
-    known["a"].answered(True, NOW)
-    known["a"].answered(False, NOW + 1)
-    known = join(known, [member()], NOW + 2)
+    known = merge_list({}, [member()], NOW)
+    known["a"].record_response(True, NOW)
+    known["a"].record_response(False, NOW + 1)
+    known = merge_list(known, [member()], NOW + 2)
     assert known["a"].leaving
-    assert not join(known, [member(address="2")], NOW + 3)["a"].leaving
+    assert not merge_list(known, [member(address="2")], NOW + 3)["a"].leaving
 
 
 def test_a_server_missing_from_the_list_is_kept_while_it_responds():
     # After an outage the list is incomplete, and lacks servers that work.
-    known = join({}, [member("a"), member("b")], NOW)
-    known["a"].answered(False, NOW)
-    assert join(known, [], NOW + 1).keys() == {"a"}
-    assert not join(known, [], NOW + KEEP_SECONDS + 1)
+    known = merge_list({}, [member("a"), member("b")], NOW)
+    known["a"].record_response(False, NOW)
+    assert merge_list(known, [], NOW + 1).keys() == {"a"}
+    assert not merge_list(known, [], NOW + KEEP_SECONDS + 1)
--- a/tests/test_lost_and_crashing.py
+++ b/tests/test_lost_and_crashing.py
@@ -3,18 +3,18 @@
 import asyncio
 
 import pytest
-from answers_fakes import (
+from agent_entry_fakes import (
     FakeAgent,
     FakePlain,
     FakeTable,
-    Gated,
+    GatedEngine,
     answer,
     call,
-    caller_of,
     draft,
-    engine_agent,
+    make_caller,
+    make_engine_agent,
+    make_target,
     order,
-    server_of,
 )
 from wasabideck_policy.outcomes import Answered, NotRun, Unknown
 from wasabideck_policy.quarantine import Quarantine
@@ -28,13 +28,13 @@
 
     async def body():
         agents = [
-            await engine_agent(f"draft-{i}", engine_kw={"dies_at": 0}).serve()
+            await make_engine_agent(f"draft-{i}", engine_kw={"dies_at": 0}).serve()
             for i in (1, 2, 3)
         ]
         shared = Quarantine()  # stands for the gossip between the entries
         outcomes = []
         for _ in range(3):
-            caller = caller_of(*map(server_of, agents), quarantine=shared)
+            caller = make_caller(*map(make_target, agents), quarantine=shared)
             outcomes.append((await answer(caller, call()))[1])
             caller.channels.close()
         crashes = sum(agent.runner.crashes for agent in agents)
@@ -55,7 +55,7 @@
     """
 
     async def body():
-        one = engine_agent(engine=Gated())
+        one = make_engine_agent(engine=GatedEngine())
         first = one.runner.start(draft("d1"))
         suspect = one.runner.start(draft("d2", b"suspect", alone=True))
         later = one.runner.start(draft("d3", b"later"))
@@ -99,8 +99,8 @@
             one.plain.hold = hold
         await one.serve()
         await two.serve()
-        servers = server_of(one), server_of(two)
-        caller = caller_of(*servers, table=table)
+        servers = make_target(one), make_target(two)
+        caller = make_caller(*servers, table=table)
         response = asyncio.create_task(answer(caller, call(False, key="k1")))
         await (held if moment == "before the claim" else one.plain).entered.wait()
         one.server.close()
@@ -130,7 +130,7 @@
         held, table = FakeTable(hold=asyncio.Event()), FakeTable()
         held.rows = table.rows
         one = await FakeAgent("order-1", held, plain=FakePlain()).serve()
-        caller = caller_of(server_of(one), table=table)
+        caller = make_caller(make_target(one), table=table)
         response = asyncio.create_task(answer(caller, call(False, key="k1")))
         await held.entered.wait()
         attempt = one.runner.attempts.in_progress()[0]
@@ -156,7 +156,7 @@
     """
 
     async def body():
-        caller = caller_of()
+        caller = make_caller()
         _, first = await answer(caller, call(repeatable=False))
         _, again = await answer(caller, call(repeatable=False, again=True))
         assert isinstance(first, NotRun)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -3,10 +3,10 @@
 import asyncio
 
 import aiohttp
-from wasabideck_base.http import HttpClient
-from wasabideck_base.members import Members
-from wasabideck_lab.faults import Faults
-from wasabideck_lab.launcher import serve_standin
+from wasabideck_base.http_client import HttpClient
+from wasabideck_base.members import MemberListClient
+from wasabideck_lab.faults import FaultInjector
+from wasabideck_lab.lab_fleet import serve_standin
 from wasabideck_lab.standin_platform import MembersStandin
 from wasabideck_policy.membership import Member
 
@@ -18,15 +18,17 @@
     according to its size."""
 
     async def session():
-        standin = MembersStandin(Faults(rng))
+        standin = MembersStandin(FaultInjector(rng))
         for index in range(300):
-            standin.put(Member(f"vm-{index}", "agent", f"10.0.0.{index}:1"))
+            standin.put_member(Member(f"vm-{index}", "agent", f"10.0.0.{index}:1"))
         address, runner = await serve_standin(standin)
         async with aiohttp.ClientSession() as http:
-            members = Members(HttpClient(address, 2.0, http), bytes_per_second=100.0)
+            members = MemberListClient(
+                HttpClient(address, 2.0, http), bytes_per_second=100.0
+            )
             counts = [len(await members.read(now)) for now in (0.0, 1.0)]
             reads_within_budget = standin.reads
-            standin.remove("vm-7")
+            standin.remove_member("vm-7")
             counts.append(len(await members.read(10_000.0)))
             await members.read(20_000.0)
             unchanged = await members.http.get_if_changed("/v1/members", members._etag)
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -45,7 +45,7 @@
         "Manifest",
         "Member",
         "ReportFilter",
-        "Server",
+        "ServerState",
         "Ticket",
     },
 }
--- a/tests/test_servers.py
+++ b/tests/test_server_clients.py
@@ -8,18 +8,18 @@
 from grpclib.client import Channel
 from sanic import Sanic
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock
-from wasabideck_base.http import HttpClient
-from wasabideck_base.http_answers import PlatformUnavailable
-from wasabideck_base.servers import (
-    PlainService,
+from wasabideck_base.events import HybridClock
+from wasabideck_base.http_client import HttpClient
+from wasabideck_base.http_responses import PlatformUnavailable
+from wasabideck_base.server_clients import (
+    PlainServiceClient,
     ServerDied,
     ServerFailed,
     ServerRefused,
     ServerSilent,
 )
 from wasabideck_entry.connections import close_idle, in_progress
-from wasabideck_lab.launcher import serve_standin
+from wasabideck_lab.lab_fleet import serve_standin
 
 
 class StatusServer:
@@ -61,7 +61,7 @@
 )
 def test_a_failure_is_a_refusal_only_if_the_request_did_not_run(status, failure):
     async def call(http):
-        await PlainService(http).call("a1", "print", "k1", b"20 banners", 0.3)
+        await PlainServiceClient(http).call("a1", "print", "k1", b"20 banners", 0.3)
 
     with pytest.raises(failure):
         asyncio.run(ask(StatusServer(status), call))
@@ -90,11 +90,11 @@
     """
 
     async def body():
-        channels = Channels(Clock())
+        channels = Channels(HybridClock())
         broken = channels.get("127.0.0.1:9")
-        channels.drop("127.0.0.1:9", broken)
+        channels.close_channel("127.0.0.1:9", broken)
         new = channels.get("127.0.0.1:9")
-        channels.drop("127.0.0.1:9", broken)
+        channels.close_channel("127.0.0.1:9", broken)
         assert channels.get("127.0.0.1:9") is new
         assert isinstance(new, Channel)
         channels.close()
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -5,7 +5,7 @@
 import pytest
 from wasabideck_agent.attempts import Attempt
 from wasabideck_agent.slots import Slot, Slots
-from wasabideck_policy.admission import Gate
+from wasabideck_policy.admission import AdmissionControl
 from wasabideck_wire import inner_pb2 as pb
 
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def slots(now):
-    gate = Gate(capacity=1, service_time=1.0, open=True)
+    gate = AdmissionControl(capacity=1, service_seconds=1.0, accepting=True)
     return Slots(gate, lambda: now[0])
 
 
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -10,7 +10,7 @@
     Change,
     TicketError,
     TicketState,
-    desired,
+    desired_assignment,
     parse_ticket,
 )
 
@@ -41,8 +41,8 @@
     state = TicketState()
     state.merge([Assignment(2, Change("a/vm-1", "model", version="own"))])
     state.merge([Assignment(1, Change("a", "model", version="all"))])
-    assert desired(state, "a", "vm-1", "model").ticket == 2
-    assert desired(state, "a", "vm-2", "model").ticket == 1
+    assert desired_assignment(state, "a", "vm-1", "model").ticket == 2
+    assert desired_assignment(state, "a", "vm-2", "model").ticket == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -5,9 +5,9 @@
 
 import pytest
 from grpclib.server import Server
-from wasabideck_base.channels import LINK_FAILURES, Channels
-from wasabideck_base.events import Clock
-from wasabideck_base.spread import PeersService
+from wasabideck_base.channels import CALL_FAILURES, Channels
+from wasabideck_base.events import HybridClock
+from wasabideck_base.ticket_replication import PeersService
 from wasabideck_entry.fleet import Fleet
 from wasabideck_entry.watching import StatusWatcher
 from wasabideck_policy.membership import AGENT, ENTRY, Member
@@ -69,7 +69,7 @@
         async def session():
             agent = Agent()
             address = await agent.start()
-            fleet = Fleet("entry-1", Channels(Clock()))
+            fleet = Fleet("entry-1", Channels(HybridClock()))
             agents = [Member("a", AGENT, address, service="s")]
             fleet.update_members([Member("entry-1", ENTRY, "e"), *agents])
             task = asyncio.create_task(StatusWatcher(fleet, ShortestDelay()).run())
@@ -96,7 +96,7 @@
     async def body(agent, fleet):
         await wait_until(lambda: agent.report_count >= 2)
         agent.reply.leaving = True
-        agent.service.tell()
+        agent.service.notify_watchers()
         await wait_until(lambda: not fleet.candidates("s", set()))
         return agent.report_count
 
@@ -132,7 +132,7 @@
 
         protocol.connection.close()
         channel.__connect__ = connected
-        with pytest.raises(LINK_FAILURES):
+        with pytest.raises(CALL_FAILURES):
             await PeersStub(channel).Status(pb.StatusRequest(), timeout=5)
 
     watched(body)
--- a/tests/tickets/fake_table.py
+++ b/tests/tickets/fake_table.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from attrs import define, field
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.table import CheckFailed
 
 
--- a/tests/tickets/test_acceptance.py
+++ b/tests/tickets/test_acceptance.py
@@ -3,19 +3,19 @@
 import asyncio
 
 import pytest
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.ticket_store import (
     TicketRaced,
     TicketUnknown,
     read_changes,
     read_ticket,
-    settle_ticket,
+    resolve_acceptance,
 )
 from wasabideck_policy.tickets import TicketConflict, TicketSuperseded
 
 
 def settle(table, number):
-    return asyncio.run(settle_ticket(table, number))
+    return asyncio.run(resolve_acceptance(table, number))
 
 
 def test_ticket_submitted_twice_is_accepted_once(accept, make_ticket):
--- a/tests/tickets/test_orders.py
+++ b/tests/tickets/test_orders.py
@@ -8,19 +8,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from hypothesis.stateful import run_state_machine_as_test as run_machine
-from wasabideck_agent.orders import Orders, OrderWithheld
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_agent.engine_orders import Orders, OrderWithheld
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_policy import orders as policy
-from wasabideck_policy.orders import OrderBook, Serving, gate_open, order_due
+from wasabideck_policy.desired_weights import DesiredWeights
+from wasabideck_policy.orders import OrderState, Serving, may_serve, order_due
 from wasabideck_policy.tickets import Assignment, Change
-from wasabideck_policy.wants import Wanted
 
 NEWEST = "d5"
 
 
 def desired(ticket=5, manifest=NEWEST, cutover="keep"):
     change = Change("a", "model", "m", f"v{ticket}", manifest, cutover=cutover)
-    return Wanted(ticket, change, (Assignment(ticket, change),))
+    return DesiredWeights(ticket, change, (Assignment(ticket, change),))
 
 
 def serving(fence, manifest=None):
@@ -55,7 +55,7 @@
     ],
 )
 def test_gate_open(engine, ticket, highest, is_open):
-    assert gate_open(engine, ticket, highest) is is_open
+    assert may_serve(engine, ticket, highest) is is_open
 
 
 def test_an_engine_is_never_ordered_an_older_ticket():
@@ -78,8 +78,8 @@
 
     @rule()
     def start_agent(self):
-        self.book = OrderBook()
-        self.book.begin(serving(self.engine), self.now)
+        self.book = OrderState()
+        self.book.start(serving(self.engine), self.now)
 
     @rule()
     def new_ticket(self):
@@ -95,16 +95,16 @@
 
     @rule(delay=st.sampled_from([None, 0.0, 2.0, 9.0]), lost=st.booleans())
     def agent_acts(self, delay, lost):
-        self.book.see(serving(self.engine))
+        self.book.record_serving(serving(self.engine))
         due = order_due(serving(self.engine), desired(self.desired, f"d{self.desired}"))
-        if not due or not self.book.settled(self.now):
+        if not due or not self.book.may_send(self.now):
             return
         if not lost:
             self.load(self.desired)
         elif delay is not None:
             self.late.append((self.now + delay, self.desired))
         if lost:
-            self.book.lose(self.desired, self.now)
+            self.book.record_lost(self.desired, self.now)
 
     def load(self, fence):
         self.engine = fence
@@ -126,10 +126,10 @@
 @pytest.mark.parametrize(
     ("owner", "name", "broken"),
     [
-        (OrderBook, "settled", lambda self, now: True),
-        (OrderBook, "begin", lambda self, engine, now: None),
-        (OrderBook, "see", _settle_on_any_read_back),
-        (policy, "SETTLE_SECONDS", 1.0),
+        (OrderState, "may_send", lambda self, now: True),
+        (OrderState, "start", lambda self, engine, now: None),
+        (OrderState, "record_serving", _settle_on_any_read_back),
+        (policy, "LOST_ORDER_SECONDS", 1.0),
     ],
     ids=["never-waits", "restart-forgets", "any-read-back-settles", "waits-too-short"],
 )
@@ -197,7 +197,7 @@
 
     now: float = 100.0
     log: list = field(factory=list)
-    desired: Wanted | None = None
+    desired: DesiredWeights | None = None
     engine: FakeEngine = field(init=False)
     runner: FakeRunner = field(factory=FakeRunner)
 
@@ -209,7 +209,7 @@
             self.engine,
             self.runner,
             self,
-            OrderBook(),
+            OrderState(),
             lambda: self.desired,
             clock=lambda: self.now,
             sleep=self.sleep,
--- a/tests/tickets/test_race_sessions.py
+++ b/tests/tickets/test_race_sessions.py
@@ -10,7 +10,7 @@
 import pytest
 from attrs import define, field
 from fake_table import FakeTable
-from wasabideck_base.ticket_store import accept_ticket, settle_ticket
+from wasabideck_base.ticket_store import accept_ticket, resolve_acceptance
 from wasabideck_policy.outcomes import WasabideckError
 from wasabideck_policy.tickets import Change, Ticket
 
@@ -65,13 +65,15 @@
         ticket = Ticket(number, changes)
         try:
             done = await accept_ticket(self, ticket, self.name, NOW)
-            result = f"accepted as {done.sequence}" + (" before" if done.again else "")
+            result = f"accepted as {done.sequence}" + (
+                " before" if done.already_accepted else ""
+            )
         except WasabideckError as exc:
             result = f"{type(exc).__name__}: {exc}"
         self.table.log.append(f"{self.name} is told of {number}: {result}")
 
     async def query_status(self, number):
-        found = await settle_ticket(self, number)
+        found = await resolve_acceptance(self, number)
         result = f"accepted as {found.sequence}" if found else "certainly not accepted"
         self.table.log.append(f"{self.name} asks for {number}: {result}")
 
--- a/tests/tickets/test_reconcile.py
+++ b/tests/tickets/test_reconcile.py
@@ -5,14 +5,14 @@
 import pytest
 from attrs import define, field
 from wasabideck_agent.chunk_store import ChunkStore
-from wasabideck_agent.reconcile import Reconciler
-from wasabideck_base.spread import Spread
-from wasabideck_lab.weights import make_weights
-from wasabideck_policy.orders import Serving, ordered_by
+from wasabideck_agent.reconciler import Reconciler
+from wasabideck_base.ticket_replication import TicketReplication
+from wasabideck_lab.random_weights import generate_weights
+from wasabideck_policy.desired_weights import desired_weights
+from wasabideck_policy.orders import Serving, expected_serving
 from wasabideck_policy.tickets import Assignment, Change
-from wasabideck_policy.wants import wanted_of
 
-WEIGHTS = {v: make_weights("m", v, 2, 8, 0) for v in ("v1", "v2", "tone-1")}
+WEIGHTS = {v: generate_weights("m", v, 2, 8, 0) for v in ("v1", "v2", "tone-1")}
 
 
 def assignment(ticket, scope, version, slot="model"):
@@ -47,7 +47,7 @@
         pass
 
     async def apply(self, desired, chunks, wait_for_turn):
-        self.serving = ordered_by(desired)
+        self.serving = expected_serving(desired)
         self.ordered.append((desired.ticket, desired.adapters, chunks))
 
     def add(self, delivery):
@@ -73,7 +73,7 @@
                 for digest, data in zip(
                     manifest.chunks, WEIGHTS[manifest.version][1], strict=True
                 ):
-                    server.store.add(digest, data, "")
+                    server.store.add_chunk(digest, data, "")
 
         return Transfer()
 
@@ -91,7 +91,7 @@
 @pytest.fixture
 def reconciler_parts():
     server = Server()
-    ticket_replication = Spread("vm-1", server)
+    ticket_replication = TicketReplication("vm-1", server)
     reconciler = Reconciler(
         "vm-1",
         "a",
@@ -106,7 +106,7 @@
         server.make_transfer,
         None,
     )
-    ticket_replication._heard.done = True
+    ticket_replication._startup_knowledge.sufficient = True
     return server, ticket_replication, reconciler
 
 
@@ -171,7 +171,7 @@
     assert adapters == [(1, {}), (2, {"tone": tone}), (3, {})]
     assert server.ordered[1][2] == {WEIGHTS["v1"][0].digest: 2, tone: 2}
     assert server.rows == [("model", 1), ("adapter:tone", 2)]
-    assert wanted_of(ticket_replication.state, "a", "vm-1").ticket == 3
+    assert desired_weights(ticket_replication.state, "a", "vm-1").ticket == 3
 
 
 def test_a_stop_ends_the_step_in_progress(reconciler_parts):
--- a/tests/tickets/test_turns.py
+++ b/tests/tickets/test_swap_schedule.py
@@ -4,9 +4,14 @@
 import random
 
 import pytest
-from wasabideck_agent.swap_turns import SwapScheduler
+from wasabideck_agent.swap_scheduler import SwapScheduler
 from wasabideck_policy.membership import AGENT, Member
-from wasabideck_policy.turns import SLOT_SECONDS, WAVES, may_swap, own_turn
+from wasabideck_policy.swap_schedule import (
+    MAX_SWAP_WAVES,
+    SLOT_SECONDS,
+    in_own_slot,
+    may_swap,
+)
 
 STEP = 0.05
 
@@ -19,7 +24,7 @@
         for vm in vms:
             down = {other for other, at in back_at.items() if at > now}
             serving = servers - 1 - len(down - {vm})
-            if vm in back_at or not own_turn(vm, 7, vms, now):
+            if vm in back_at or not in_own_slot(vm, 7, vms, now):
                 continue
             if may_swap(servers - 1, serving):
                 back_at[vm] = now + swap_seconds
@@ -32,12 +37,12 @@
 @pytest.mark.parametrize("swap_seconds", [0.05, 2.0])
 def test_a_minimum_of_servers_keeps_serving(servers, swap_seconds):
     max_down, _ = _roll_out(servers, swap_seconds)
-    assert max_down <= max(1, servers // WAVES)
+    assert max_down <= max(1, servers // MAX_SWAP_WAVES)
 
 
 def test_short_swaps_of_a_large_service_take_one_round():
     _, took = _roll_out(40, 0.05)
-    assert took <= WAVES * SLOT_SECONDS + 2 * STEP
+    assert took <= MAX_SWAP_WAVES * SLOT_SECONDS + 2 * STEP
 
 
 @pytest.mark.parametrize("wall", [0.0, 0.25, 0.5])
--- a/tests/tickets/test_spread.py
+++ b/tests/tickets/test_ticket_replication.py
@@ -4,13 +4,15 @@
 
 from fake_table import FakeTable
 from grpclib.testing import ChannelFor
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.spread import PeersService, Spread
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.ticket_replication import PeersService, TicketReplication
 from wasabideck_policy.tickets import Assignment, Change
 
 
 def make_spread(vm, now):
-    return Spread(vm, Events(vm, Clock(), lambda: 0.0), clock=lambda: now[0])
+    return TicketReplication(
+        vm, Events(vm, HybridClock(), lambda: 0.0), clock=lambda: now[0]
+    )
 
 
 def assignment(number, scope="a"):
--- a/tests/tickets/test_ticket_machine.py
+++ b/tests/tickets/test_tickets_stateful.py
@@ -13,14 +13,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from hypothesis.stateful import run_state_machine_as_test as run_machine
 from wasabideck_base import ticket_store
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_policy.outcomes import WasabideckError
 from wasabideck_policy.tickets import (
     Assignment,
     Change,
     Ticket,
     TicketState,
-    digest_of,
+    ticket_digest,
 )
 
 PROCESS_COUNT = 2
@@ -55,7 +55,7 @@
     def submit(self, number, changes, faults):
         ticket = Ticket(number, changes)
         self.last_number = number
-        digest = digest_of(ticket)
+        digest = ticket_digest(ticket)
         # A ticket that was not accepted may be accepted when it is submitted again.
         self.absent.discard(digest)
         self.table.faults.extend(faults)
@@ -75,9 +75,9 @@
     @rule()
     def query_status_of_last_submission(self):
         number = self.last_number
-        if run(ticket_store.settle_ticket(self.table, number)) is None:
+        if run(ticket_store.resolve_acceptance(self.table, number)) is None:
             assert number not in self.accepted
-            self.absent |= {digest_of(Ticket(number, c)) for c in CONTENTS}
+            self.absent |= {ticket_digest(Ticket(number, c)) for c in CONTENTS}
 
     @rule()
     def execute_late_writes(self):
@@ -128,7 +128,7 @@
     @rule(sender=PROCESS, receiver=PROCESS)
     def compare(self, sender, receiver):
         one, other = self.states[sender], self.states[receiver]
-        other.merge(one.above(other.sequence), one.sequence)
+        other.merge(one.accepted_after(other.sequence), one.sequence)
 
     @rule(sender=PROCESS, receiver=PROCESS)
     def push(self, sender, receiver):
@@ -152,7 +152,7 @@
         for state in self.states:
             for sequence in range(len(self.tables)):
                 held = [a for a in state.assignments() if a.sequence > sequence]
-                assert state.above(sequence) == held
+                assert state.accepted_after(sequence) == held
 
     @invariant()
     def hashes_are_equal_exactly_for_equal_states(self):
@@ -223,7 +223,7 @@
     "push-taken-for-a-place": (ReplicationMachine, "merge", _advance_sequence_on_push),
     "absent-row-believed": (
         AcceptanceMachine,
-        "settle_ticket",
+        "resolve_acceptance",
         _trust_an_absent_row,
     ),
     "lost-write-not-fenced": (AcceptanceMachine, "_fence", _do_not_fence),
--- a/tests/two_builds.py
+++ b/tests/two_builds.py
@@ -20,14 +20,14 @@
 from wasabideck_lab.demo import (
     SERVICES,
     DemoFailed,
-    call,
-    submit,
-    wait_in_force,
+    call_service,
+    submit_ticket,
+    wait_in_effect,
     wait_serving,
 )
-from wasabideck_lab.launcher import Lab
-from wasabideck_lab.toml import to_toml
-from wasabideck_lab.weights import make_weights
+from wasabideck_lab.lab_fleet import LabFleet
+from wasabideck_lab.random_weights import generate_weights
+from wasabideck_lab.toml_writer import to_toml
 
 WAIT_SECONDS = 25.0
 # Events that tell of a message, row or setting that could not be read, or of a loop
@@ -65,14 +65,14 @@
 # The product's own programs: entries, agents, tickets, claims, deliveries.
 
 
-class MixedLab(Lab):
+class MixedLab(LabFleet):
     """A lab whose processes are of the build that their VM is given."""
 
     builds = {}
 
-    async def _start(self, vm, binary, settings, program=()):
+    async def _start_process(self, vm, binary, settings, program=()):
         program = (str(self.builds[vm] / ".venv/bin" / binary),)
-        return await super()._start(vm, binary, settings, program)
+        return await super()._start_process(vm, binary, settings, program)
 
 
 def ticket(folder, number, digest):
@@ -92,7 +92,7 @@
 
     async def found():
         try:
-            return await call(session, *args)
+            return await call_service(session, *args)
         except DemoFailed as exc:
             if "503" not in str(exc) or "not-run" not in str(exc):
                 raise
@@ -121,13 +121,14 @@
     lab = MixedLab(folder)
     await lab.start_platform()
     digests = [
-        lab.publish(*make_weights("drafter", f"v{n}", 16, 4096, n)) for n in (1, 2, 3)
+        lab.publish(*generate_weights("drafter", f"v{n}", 16, 4096, n))
+        for n in (1, 2, 3)
     ]
     try:
         entries = [await lab.start_entry(vm, SERVICES) for vm in ("entry-1", "entry-2")]
         for vm in ("draft-1", "draft-2"):
             await lab.start_engine_vm(vm, "drafting")
-        await lab.start_plain_vm("order-1", "orders")
+        await lab.start_plain_service_vm("order-1", "orders")
         for number, submitter in ((1, 0), (2, 1)):
             await ticket_round(folder, entries, digests, number, submitter)
         # Each VM's process is started again, of the other build, on the same rows,
@@ -142,7 +143,7 @@
             await lab.restart(vm)
         entries = [lab.processes[vm] for vm in ("entry-1", "entry-2")]
         await ticket_round(folder, entries, digests, 3, 0)
-        runs = dict(lab.plains["order-1"].runs)
+        runs = dict(lab.plain_services["order-1"].runs)
         expect(set(runs.values()) == {1}, f"a claimed call ran twice: {runs}")
     finally:
         codes = await lab.close()
@@ -156,9 +157,9 @@
     sessions = [aiohttp.ClientSession(f"http://{e.http}") for e in entries]
     try:
         file = ticket(folder, number, digests[number - 1])
-        await submit(sessions[submitter], file)
+        await submit_ticket(sessions[submitter], file)
         for session in sessions:
-            await wait_in_force(session, number, 2)
+            await wait_in_effect(session, number, 2)
             await wait_serving(session, 3)
         first = await session_calls(sessions[0], f"key-{number}", f"v{number}")
         # The other entry is given the same key: the stored answer is replayed.
--- a/tests/weights/driver.py
+++ b/tests/weights/driver.py
@@ -3,22 +3,22 @@
 import hashlib
 
 from attrs import define, field
-from wasabideck_policy.distribution import next_fetch, whom_to_ask
+from wasabideck_policy.fetch_policy import choose_fetch, peers_to_query
 from wasabideck_policy.manifests import CorruptChunk, Manifest, chunk_digest
 from wasabideck_policy.membership import AGENT, Member
-from wasabideck_policy.views import (
+from wasabideck_policy.transfer_view import (
     ORIGIN,
-    Limits,
-    View,
-    begin,
+    FetchLimits,
+    TransferView,
     bits,
-    end,
-    got,
-    got_corrupt,
-    hear,
-    lose,
-    origin_failed,
-    refused,
+    record_chunk,
+    record_corrupt_chunk,
+    record_fetch_end,
+    record_fetch_start,
+    record_holdings,
+    record_origin_failure,
+    record_peer_failure,
+    record_refusal,
     set_members,
 )
 
@@ -47,7 +47,7 @@
     unresponsive_between: tuple[float, float] = (0.0, 0.0)
     restarts_at: float = 1e9
 
-    def held(self, now):
+    def held_chunks(self, now):
         mask = 0
         if now >= self.restarts_at:
             return mask
@@ -73,19 +73,21 @@
     origin_down: tuple[float, float] = (0.0, 0.0)
     started_at: float = 0.0
     log: list[str] = field(factory=list)
-    view: View = field(init=False)
+    view: TransferView = field(init=False)
     _pending: list = field(factory=list)
 
     def __attrs_post_init__(self):
-        self.store.know(self.manifest)
-        self.view = View(
+        self.store.add_manifest(self.manifest)
+        self.view = TransferView(
             self.vm,
             self.manifest.chunks,
             self.started_at,
             self.region,
             origin_region="r1",
-            limits=Limits(near=2, slot=SLOT_SECONDS, patience=1.0),
-            held=self.store.held(self.manifest),
+            limits=FetchLimits(
+                region_fetches=2, slot_seconds=SLOT_SECONDS, stall_seconds=1.0
+            ),
+            held=self.store.held_chunks(self.manifest),
             progress_at=self.started_at,
         )
         self.set_peers()
@@ -100,54 +102,54 @@
         for tick in range(ticks):
             now = round(self.started_at + tick * TICK_SECONDS, 3)
             self._end_fetches(now)
-            if self.store.whole(self.manifest):
+            if self.store.is_complete(self.manifest):
                 self._log_step(now, "whole")
                 return
             self._query_peers(now)
-            while fetch := next_fetch(self.view, now, self.rng):
-                begin(self.view, fetch)
-                slots = CROSS_REGION_SLOTS if fetch.far else 1
+            while fetch := choose_fetch(self.view, now, self.rng):
+                record_fetch_start(self.view, fetch)
+                slots = CROSS_REGION_SLOTS if fetch.cross_region else 1
                 self._pending.append((round(now + slots * SLOT_SECONDS, 3), fetch))
                 self._log_step(now, f"fetch {fetch.index} {fetch.source or 'origin'}")
-        held = " ".join(map(str, bits(self.store.held(self.manifest))))
+        held = " ".join(map(str, bits(self.store.held_chunks(self.manifest))))
         self._log_step(until, f"stopped with {held}")
 
     def _log_step(self, now, text):
         self.log.append(f"{now:.2f} {text}")
 
     def _query_peers(self, now):
-        for vm in whom_to_ask(self.view, now, self.rng):
+        for vm in peers_to_query(self.view, now, self.rng):
             if self.peers[vm].unresponsive(now):
                 self._log_step(now, f"no word from {vm}")
-                lose(self.view, vm, now)
+                record_peer_failure(self.view, vm, now)
             else:
-                hear(self.view, vm, self.peers[vm].held(now), now)
+                record_holdings(self.view, vm, self.peers[vm].held_chunks(now), now)
 
     def _end_fetches(self, now):
         for ends_at, fetch in [row for row in self._pending if row[0] <= now]:
             self._pending.remove((ends_at, fetch))
             self._log_step(now, f"{self._outcome(fetch, now)} {fetch.index}")
-            end(self.view, fetch)
+            record_fetch_end(self.view, fetch)
 
     def _outcome(self, fetch, now):
         data = self.texts[fetch.index].encode()
         peer = self.peers.get(fetch.source)
         if fetch.source == ORIGIN and self.origin_down[0] <= now < self.origin_down[1]:
-            origin_failed(self.view, now)
+            record_origin_failure(self.view, now)
             return "origin down"
         if peer and peer.unresponsive(now):
-            lose(self.view, peer.vm, now)
+            record_peer_failure(self.view, peer.vm, now)
             return f"lost {peer.vm}"
-        if peer and not peer.held(now) >> fetch.index & 1:
-            hear(self.view, peer.vm, peer.held(now), now)
-            refused(self.view, fetch, now, self.rng)
+        if peer and not peer.held_chunks(now) >> fetch.index & 1:
+            record_holdings(self.view, peer.vm, peer.held_chunks(now), now)
+            record_refusal(self.view, fetch, now, self.rng)
             return f"refused by {peer.vm}"
         if peer and peer.corrupt >> fetch.index & 1:
             data = hashlib.sha256(data).digest()
         try:
-            self.store.add(self.manifest.chunks[fetch.index], data, fetch.source)
+            self.store.add_chunk(self.manifest.chunks[fetch.index], data, fetch.source)
         except CorruptChunk:
-            got_corrupt(self.view, fetch, now)
+            record_corrupt_chunk(self.view, fetch, now)
             return f"corrupt from {fetch.source}"
-        got(self.view, fetch, now)
+        record_chunk(self.view, fetch, now)
         return "got"
--- a/tests/weights/test_chunk_http.py
+++ b/tests/weights/test_chunk_http.py
@@ -18,10 +18,10 @@
 from wasabideck_agent.chunks_service import UPLOAD_TIMEOUT_SECONDS, ChunksService
 from wasabideck_agent.links import Link, Links
 from wasabideck_agent.transfer import Transfer
-from wasabideck_base.channels import LINK_FAILURES
+from wasabideck_base.channels import CALL_FAILURES
 from wasabideck_base.events import open_events
-from wasabideck_base.http_answers import PlatformUnavailable
 from wasabideck_base.http_pool import HttpPool
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.weights_settings import WeightsSettings
 from wasabideck_policy.membership import AGENT, Member
 from wasabideck_wire import inner_pb2 as pb
@@ -33,9 +33,9 @@
 
 def store_of(*indices):
     store = ChunkStore()
-    store.know(MANIFEST)
+    store.add_manifest(MANIFEST)
     for index in indices:
-        store.add(MANIFEST.chunks[index], TEXTS[index].encode(), "")
+        store.add_chunk(MANIFEST.chunks[index], TEXTS[index].encode(), "")
     return store
 
 
@@ -152,9 +152,9 @@
 def test_a_lost_peer_is_a_failed_link():
     async def run():
         async with HttpPool() as pool:
-            with pytest.raises(LINK_FAILURES):
+            with pytest.raises(CALL_FAILURES):
                 await fetched(http_calls(pool), "127.0.0.1:1", request())
-            with pytest.raises(LINK_FAILURES):
+            with pytest.raises(CALL_FAILURES):
                 req = pb.HoldingsRequest(manifest=MANIFEST.digest)
                 await http_calls(pool).holdings("127.0.0.1:1", req, 1.0)
 
--- a/tests/weights/test_chunk_store.py
+++ b/tests/weights/test_chunk_store.py
@@ -29,27 +29,27 @@
         manifest, texts = MANIFESTS[version], TEXTS[version]
         index = place % len(texts)
         if kind == "cancel":
-            store.keep_only({manifest.digest})
+            store.keep_manifests({manifest.digest})
             continue
-        store.know(manifest)
+        store.add_manifest(manifest)
         data = texts[index].encode() + (b"!" if kind == "corrupt" else b"")
         try:
-            store.add(manifest.chunks[index], data, "peer")
+            store.add_chunk(manifest.chunks[index], data, "peer")
         except CorruptChunk:
             assert kind == "corrupt"
         for name, known in MANIFESTS.items():
             parts = [store.get(digest) for digest in known.chunks]
             there = {i for i, part in enumerate(parts) if part is not None}
             if store.manifest(known.digest):
-                assert store.held(known) == sum(1 << i for i in there)
-            if store.whole(known):
+                assert store.held_chunks(known) == sum(1 << i for i in there)
+            if store.is_complete(known):
                 assert b"".join(parts).decode() == "".join(TEXTS[name])
 
 
 def test_the_error_for_a_corrupt_chunk_has_its_source():
     store = ChunkStore()
     with pytest.raises(CorruptChunk) as caught:
-        store.add(chunk_digest(b"good"), b"bad", "vm-7")
+        store.add_chunk(chunk_digest(b"good"), b"bad", "vm-7")
     assert caught.value.source == "vm-7"
 
 
@@ -58,9 +58,9 @@
     # kills it, because chunks of versions that no ticket names any more are kept.
     store = ChunkStore()
     for version, texts in TEXTS.items():
-        store.know(MANIFESTS[version])
+        store.add_manifest(MANIFESTS[version])
         for text in texts:
-            store.add(chunk_digest(text.encode()), text.encode(), "peer")
-    store.keep_only({MANIFESTS["v2"].digest})
+            store.add_chunk(chunk_digest(text.encode()), text.encode(), "peer")
+    store.keep_manifests({MANIFESTS["v2"].digest})
     assert store.get(chunk_digest(b"b")) is None
-    assert store.whole(MANIFESTS["v2"])
+    assert store.is_complete(MANIFESTS["v2"])
--- a/tests/weights/test_failures.py
+++ b/tests/weights/test_failures.py
@@ -2,9 +2,16 @@
 
 import pytest
 from driver import ALL_CHUNKS, SLOT_SECONDS, TEXTS, FakePeer, manifest_of
-from wasabideck_policy.distribution import next_fetch
+from wasabideck_policy.fetch_policy import choose_fetch
 from wasabideck_policy.membership import AGENT, Member
-from wasabideck_policy.views import Fetch, View, begin, bits, got_corrupt, set_members
+from wasabideck_policy.transfer_view import (
+    Fetch,
+    TransferView,
+    bits,
+    record_corrupt_chunk,
+    record_fetch_start,
+    set_members,
+)
 
 
 def fetches(run, source):
@@ -30,7 +37,7 @@
     # maximum wait, as nobody else reads the chunks that a draining VM owns.
     digests = manifest_of("v1", TEXTS).chunks
     stays = Member("b", AGENT, "")
-    view = View("a", digests, 0.0)
+    view = TransferView("a", digests, 0.0)
     set_members(view, "item", [stays, Member("c", AGENT, "", leaving=True)])
     assert {vm for ranks in view.owners.ranks for vm in ranks} == {"a", "b"}
 
@@ -91,11 +98,11 @@
 
 @pytest.mark.parametrize("times", [1, 2, 5])
 def test_a_sender_of_corrupt_chunks_gets_an_exponential_backoff(times, rng):
-    view = View("a", manifest_of("v1", TEXTS).chunks, 0.0)
+    view = TransferView("a", manifest_of("v1", TEXTS).chunks, 0.0)
     set_members(view, "item", [Member("b", AGENT, "")])
     for _ in range(times):
-        got_corrupt(view, Fetch(0, "b"), 1.0)
-    assert view.peers["b"].busy_until >= 1.0 + 2**times * view.limits.slot
+        record_corrupt_chunk(view, Fetch(0, "b"), 1.0)
+    assert view.peers["b"].busy_until >= 1.0 + 2**times * view.limits.slot_seconds
 
 
 def test_a_chunk_that_is_being_fetched_is_not_fetched_twice(session, rng):
@@ -103,9 +110,9 @@
         FakePeer("b", holds={0.0: ALL_CHUNKS}), FakePeer("c", holds={0.0: ALL_CHUNKS})
     )
     run._query_peers(0.0)
-    first = next_fetch(run.view, SLOT_SECONDS, rng)
-    begin(run.view, first)
-    second = next_fetch(run.view, SLOT_SECONDS, rng)
+    first = choose_fetch(run.view, SLOT_SECONDS, rng)
+    record_fetch_start(run.view, first)
+    second = choose_fetch(run.view, SLOT_SECONDS, rng)
     assert second.index != first.index
     assert list(bits(run.view.active)) == [first.index]
 
@@ -117,7 +124,7 @@
     members = [Member(f"vm-{i}", AGENT, "", "r2") for i in range(40)]
     shares = []
     for me in members:
-        view = View(me.vm, digests, 0.0, "r2", origin_region="r1")
+        view = TransferView(me.vm, digests, 0.0, "r2", origin_region="r1")
         set_members(view, "item", members)
         shares.append(view.region_fetchers.first.bit_count())
     assert sorted(shares)[-4:] == [32, 32, 32, 32]
--- a/tests/weights/test_fetch_window.py
+++ b/tests/weights/test_fetch_window.py
@@ -33,5 +33,5 @@
 def test_the_window_never_shrinks_below_one_fetch():
     window = FetchWindow(5, SLOT_SECONDS)
     for _ in range(20):
-        window.took(60.0)
+        window.record_duration(60.0)
     assert window.limit == 1
--- a/tests/weights/test_links.py
+++ b/tests/weights/test_links.py
@@ -43,7 +43,7 @@
     assert link.send_seconds(50, 10.0) == pytest.approx(0.5)
     link.release(50)
     assert link.send_seconds(50, 10.0) == pytest.approx(0.5)
-    assert link.passed == 50
+    assert link.transmitted_bytes == 50
 
 
 def test_a_link_without_a_rate_never_waits():
@@ -56,9 +56,9 @@
     # Guards against one VM's link carrying ten copies while others carry none, which
     # delays live requests there: all agents fetched from the first complete one.
     store = ChunkStore()
-    store.know(MANIFEST)
+    store.add_manifest(MANIFEST)
     for digest, text in zip(MANIFEST.chunks, TEXTS, strict=True):
-        store.add(digest, text.encode(), "")
+        store.add_chunk(digest, text.encode(), "")
     service = ChunksService(store, Links(Link(), Link(), Link()), 3)
     service.sent[MANIFEST.digest] = int(MAX_SENT_RATIO * len(TEXTS)) + 1
     req = pb.FetchRequest(manifest=MANIFEST.digest, index=1, vm="a", urgent=urgent)
@@ -78,4 +78,4 @@
 def test_the_origin_bytes_profile_waits_longer_before_reading_the_origin_again():
     default = limits_of(WeightsSettings(profile="time"), 1 << 20)
     patient = limits_of(WeightsSettings(profile="origin-bytes"), 1 << 20)
-    assert patient.patience == 4 * default.patience
+    assert patient.stall_seconds == 4 * default.stall_seconds
--- a/tests/weights/test_sessions.py
+++ b/tests/weights/test_sessions.py
@@ -51,7 +51,7 @@
     )
     already_held = second.view.held
     second.run(5.0)
-    first.store.keep_only({second.manifest.digest})
+    first.store.keep_manifests({second.manifest.digest})
     assert second.store.whole(second.manifest)
     assert not first.store.whole(first.manifest)
     fetched = [line for line in second.log if "fetch" in line]
--- a/tests/weights/test_slow_peers.py
+++ b/tests/weights/test_slow_peers.py
@@ -1,13 +1,18 @@
 """Chunks that a VM with a slow link has to fetch into its region."""
 
 import pytest
-from wasabideck_policy.distribution import (
+from wasabideck_policy.fetch_policy import (
     MIN_OVERDUE_SECONDS,
     OVERDUE_COPY_RATIO,
     may_fetch_from_outside,
 )
 from wasabideck_policy.membership import AGENT, Member
-from wasabideck_policy.views import Limits, View, hear, set_members
+from wasabideck_policy.transfer_view import (
+    FetchLimits,
+    TransferView,
+    record_holdings,
+    set_members,
+)
 
 CHUNKS = 48
 SLOT_SECONDS = 0.1
@@ -18,7 +23,13 @@
 def view():
     """The view of a transfer of a VM with three other VMs in its region."""
     digests = [f"d{i}" for i in range(CHUNKS)]
-    made = View("a", digests, 0.0, "r", limits=Limits(slot=SLOT_SECONDS, patience=2.0))
+    made = TransferView(
+        "a",
+        digests,
+        0.0,
+        "r",
+        limits=FetchLimits(slot_seconds=SLOT_SECONDS, stall_seconds=2.0),
+    )
     near = [Member(vm, AGENT, f"{vm}:1", "r", "dc") for vm in "bcd"]
     set_members(made, "m", [*near, Member("far", AGENT, "far:1", "r2", "dc2")])
     return made
@@ -33,7 +44,7 @@
     held, now = 0, 0.0
     while now < until:
         held = held << 1 | 1
-        hear(view, "b", held, now)
+        record_holdings(view, "b", held, now)
         now += 1.0
 
 
@@ -64,7 +75,7 @@
 
 
 def test_on_a_fast_link_latency_does_not_make_a_vm_overdue(view):
-    view.limits = Limits(slot=0.001, patience=2.0)
+    view.limits = FetchLimits(slot_seconds=0.001, stall_seconds=2.0)
     index = second_in_rank(view)
     progress_slowly(view, 1.0)
     assert not may_fetch_from_outside(
--- a/tests/weights/test_transfer.py
+++ b/tests/weights/test_transfer.py
@@ -16,11 +16,11 @@
 from wasabideck_agent.peer_calls import grpc_calls
 from wasabideck_agent.transfer import Transfer
 from wasabideck_base.channels import Channels
-from wasabideck_base.events import Clock, Events
-from wasabideck_base.http_answers import PlatformUnavailable
+from wasabideck_base.events import Events, HybridClock
+from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.settings import WeightsSettings
 from wasabideck_policy.membership import AGENT, Member
-from wasabideck_policy.rendezvous import rank
+from wasabideck_policy.rendezvous import rank_vms
 from wasabideck_wire import inner_pb2 as pb
 
 TEXTS = [f"chunk {i}" for i in range(6)]
@@ -86,16 +86,16 @@
 
 @pytest.fixture
 def events(tmp_path):
-    return Events("a", Clock(), lambda: 0.0)
+    return Events("a", HybridClock(), lambda: 0.0)
 
 
 @asynccontextmanager
 async def serving(vm, cls=ChunksService, texts=TEXTS, with_store=False):
     store = ChunkStore()
-    store.know(MANIFEST)
+    store.add_manifest(MANIFEST)
     for text in texts:
         index = TEXTS.index(text)
-        store.add(MANIFEST.chunks[index], text.encode(), "")
+        store.add_chunk(MANIFEST.chunks[index], text.encode(), "")
     server = Server([cls(store, Links(Link(), Link(), Link()), 3)])
     await server.start("127.0.0.1", 0)
     port = server._server.sockets[0].getsockname()[1]
@@ -109,7 +109,7 @@
 
 def transfer_from(members, origin, events, channels):
     store = ChunkStore()
-    store.know(MANIFEST)
+    store.add_manifest(MANIFEST)
     links = Links(Link(), Link(), Link())
     return Transfer(
         Member("a", AGENT, ""),
@@ -187,7 +187,7 @@
     # on every other VM instead of one: each queried one peer after the other for the
     # manifest, and waited for the suspended one.
     monkeypatch.setattr(manifest_reader, "CALL_TIMEOUT_SECONDS", 3600.0)
-    first, second = rank(MANIFEST.digest, ["b", "c"])
+    first, second = rank_vms(MANIFEST.digest, ["b", "c"])
 
     async def body():
         suspended = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1")
