--- a/packages/wasabideck_entry/wasabideck_entry/__main__.py
+++ b/packages/wasabideck_entry/wasabideck_entry/__main__.py
@@ -5,13 +5,19 @@
 from wasabideck_base.command_line import CommandError, commands, run_commands
 from wasabideck_base.process import run_process
 
-from .access import operator_client
 from .entry import serve_entry
 from .entry_settings import load_entry_settings
+from .operator_access import operator_client
+from .operator_output import (
+    print_deliveries,
+    print_json,
+    print_servers,
+    print_ticket,
+    print_tickets,
+)
 from .picture import write_timeline_page
-from .report import ReportFilter, moment
-from .show import print_servers, print_ticket, print_tickets, show_json, show_report
-from .timeline import show_timeline
+from .report_filter import ReportFilter, parse_time
+from .timeline import print_timeline
 
 __all__ = ["main"]
 
@@ -38,7 +44,7 @@
             Print JSON instead of text.
         """
         ticket = operator_client(access, entry).submit(file)
-        show_json(ticket) if json else print_ticket(ticket)
+        print_json(ticket) if json else print_ticket(ticket)
 
     def show(
         self, number: int, access: str = "", entry: str = "", json: bool = False
@@ -58,7 +64,7 @@
             Print JSON instead of text.
         """
         ticket = operator_client(access, entry).get(f"/v1/tickets/{number}")
-        show_json(ticket) if json else print_ticket(ticket)
+        print_json(ticket) if json else print_ticket(ticket)
 
     def status(
         self, number: int, access: str = "", entry: str = "", json: bool = False
@@ -78,7 +84,7 @@
             Print JSON instead of text.
         """
         ticket = operator_client(access, entry).get(f"/v1/tickets/{number}/status")
-        show_json(ticket) if json else print_ticket(ticket)
+        print_json(ticket) if json else print_ticket(ticket)
 
     def list(self, access: str = "", entry: str = "", json: bool = False) -> None:
         """List the accepted tickets.
@@ -94,7 +100,7 @@
             Print JSON instead of text.
         """
         tickets = operator_client(access, entry).get("/v1/tickets")
-        show_json(tickets) if json else print_tickets(tickets)
+        print_json(tickets) if json else print_tickets(tickets)
 
 
 @commands
@@ -161,11 +167,11 @@
             Print JSON instead of text.
         """
         report_filter = ReportFilter(
-            ticket, vm, manifest, moment("since", since), moment("until", until)
+            ticket, vm, manifest, parse_time("since", since), parse_time("until", until)
         )
         client = operator_client(access, entry)
         rows = client.get("/v1/report", report_filter.to_query())
-        show_json(rows) if json else show_report(rows)
+        print_json(rows) if json else print_deliveries(rows)
 
     def status(self, access: str = "", entry: str = "", json: bool = False) -> None:
         """Show the state of every backend server that an entry uses.
@@ -181,7 +187,7 @@
             Print JSON instead of text.
         """
         servers = operator_client(access, entry).get("/v1/fleet")
-        show_json(servers) if json else print_servers(servers)
+        print_json(servers) if json else print_servers(servers)
 
     def timeline(self, *files: str, picture: str = "", json: bool = False) -> None:
         """Merge the event files of several processes into one timeline in causal order.
@@ -197,7 +203,7 @@
         """
         if not files:
             raise CommandError("at least one event file is required")
-        write_timeline_page(files, picture) if picture else show_timeline(files, json)
+        write_timeline_page(files, picture) if picture else print_timeline(files, json)
 
 
 def main() -> None:
--- a/packages/wasabideck_entry/wasabideck_entry/resolve.py
+++ b/packages/wasabideck_entry/wasabideck_entry/attempt_resolver.py
@@ -13,7 +13,7 @@
 from wasabideck_policy.claims import DONE, RELEASED, RUNNING, Claim
 from wasabideck_policy.outcomes import Answered, Failure, NotRun, Outcome
 
-__all__ = ["Resolved", "Resolver", "barring_claim"]
+__all__ = ["Resolved", "AttemptResolver", "barring_claim"]
 
 MAX_WRITE_ATTEMPTS = 3
 
@@ -27,7 +27,7 @@
 
 
 @define
-class Resolver:
+class AttemptResolver:
     """Resolves attempts of calls that must not be repeated, through their claims.
 
     A call runs only after its attempt has taken the claim. An attempt that has not
--- a/packages/wasabideck_entry/wasabideck_entry/streams.py
+++ b/packages/wasabideck_entry/wasabideck_entry/attempt_stream.py
@@ -17,7 +17,7 @@
 from wasabideck_wire.convert import outcome_to_final
 from wasabideck_wire.inner_grpc import RunsStub
 
-from .resolve import Resolved
+from .attempt_resolver import Resolved
 
 __all__ = ["RECEIVE_TIMEOUT_SECONDS", "AttemptStream"]
 
--- a/packages/wasabideck_entry/wasabideck_entry/calls.py
+++ b/packages/wasabideck_entry/wasabideck_entry/call_runner.py
@@ -23,12 +23,12 @@
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.convert import outcome_from_final
 
+from .attempt_resolver import AttemptResolver, barring_claim
+from .attempt_stream import RECEIVE_TIMEOUT_SECONDS, AttemptStream
+from .crash_suspects import CrashSuspects
 from .fleet import Fleet
-from .resolve import Resolver, barring_claim
-from .streams import RECEIVE_TIMEOUT_SECONDS, AttemptStream
-from .suspects import Suspects
 
-__all__ = ["Call", "Caller", "Ended", "Part", "Started"]
+__all__ = ["Call", "CallRunner", "Completed", "StreamEvent", "Started"]
 
 MAX_ATTEMPTS = 4
 # A longer response cannot be resumed on another server.
@@ -41,7 +41,7 @@
 
     Attributes
     ----------
-    again : bool
+    is_retry : bool
         Whether the caller sent this idempotency key before and does not know the
         outcome.
     """
@@ -56,7 +56,7 @@
     repeatable: bool
     priority: int
     deadline: float
-    again: bool = False
+    is_retry: bool = False
 
 
 @frozen
@@ -69,20 +69,20 @@
 
 
 @frozen
-class Part:
+class StreamEvent:
     """One event of a response's stream."""
 
     data: bytes
 
 
 @frozen
-class Ended:
+class Completed:
     """The request's outcome; the last item of a response."""
 
     outcome: Outcome
 
 
-ResponseItem = Started | Part | Ended
+ResponseItem = Started | StreamEvent | Completed
 
 
 @define
@@ -107,7 +107,7 @@
     tried_vms: set[str] = field(factory=set)
     may_have_run: bool = False
 
-    def record(self, item: Started | Part) -> bool:
+    def record(self, item: Started | StreamEvent) -> bool:
         """Record an item; return whether it has to be sent to the caller."""
         if isinstance(item, Started):
             # A server that resumes the response serves the same manifest, so the caller
@@ -143,7 +143,7 @@
 
 
 @define
-class Caller:
+class CallRunner:
     """Sends calls to servers, and retries on other servers within a retry budget."""
 
     fleet: Fleet
@@ -151,15 +151,15 @@
     events: Events
     choose: LoadBalancingPolicy
     rng: random.Random
-    suspects: Suspects
-    resolver: Resolver
+    suspects: CrashSuspects
+    resolver: AttemptResolver
     budget: RetryBudget = field(factory=RetryBudget)
     clock: Callable[[], float] = time.monotonic
-    silence: float = RECEIVE_TIMEOUT_SECONDS
+    receive_timeout: float = RECEIVE_TIMEOUT_SECONDS
     _cancel_tasks: set[asyncio.Task] = field(factory=set)
 
     async def run(self, call: Call) -> AsyncIterator[ResponseItem]:
-        """Return the response to a call; its last item is ``Ended``."""
+        """Return the response to a call; its last item is ``Completed``."""
         self.budget.earn()
         progress = _Progress()
         outcome: Outcome = NotRun(
@@ -182,18 +182,18 @@
                 self._run_attempt(call, server, progress, fingerprint)
             ) as items:
                 async for item in items:
-                    if isinstance(item, Ended):
+                    if isinstance(item, Completed):
                         outcome = item.outcome
                     elif progress.record(item):
                         yield item
             progress.may_have_run |= isinstance(outcome, Unknown)
-            self.fleet.observe(server, outcome)
+            self.fleet.record_outcome(server, outcome)
             await self.suspects.record_outcome(fingerprint, outcome)
             if not self._may_retry(call, progress, outcome):
                 break
-        yield Ended(_outcome_for_retry(call, progress.request_outcome(outcome)))
+        yield Completed(_outcome_for_retry(call, progress.request_outcome(outcome)))
 
-    async def settled(self, timeout: float) -> None:
+    async def wait_for_cancels(self, timeout: float) -> None:
         """Wait for the cancellation of calls whose callers have disconnected."""
         if self._cancel_tasks:
             await asyncio.wait(self._cancel_tasks, timeout=timeout)
@@ -201,7 +201,7 @@
     def _choose_server(
         self, call: Call, progress: _Progress, fingerprint: str
     ) -> ServerState | None:
-        servers = self.fleet.candidates(call.service, progress.tried_vms)
+        servers = self.fleet.eligible_servers(call.service, progress.tried_vms)
         if progress.required_manifest:
             servers = [s for s in servers if s.manifest == progress.required_manifest]
         servers = self.suspects.eligible_servers(fingerprint, servers)
@@ -250,7 +250,7 @@
             self.events,
             lambda: self.resolver.resolve(bar),
             self.clock,
-            self.silence,
+            self.receive_timeout,
         )
         server.in_progress += 1
         finished = False
@@ -277,7 +277,7 @@
     The caller's earlier request may have run although this one did not, unless this
     one held the key's bar: no other attempt can have run under a held bar.
     """
-    if not call.again or call.repeatable or not isinstance(outcome, NotRun):
+    if not call.is_retry or call.repeatable or not isinstance(outcome, NotRun):
         return outcome
     return outcome if outcome.settled else Unknown(outcome.failure, outcome.retry_after)
 
@@ -303,5 +303,5 @@
         started = event.started
         return Started(started.ticket, started.version, started.manifest)
     if event.HasField("piece"):
-        return Part(event.piece.data)
-    return Ended(outcome_from_final(event.final))
+        return StreamEvent(event.piece.data)
+    return Completed(outcome_from_final(event.final))
--- a/packages/wasabideck_entry/wasabideck_entry/front.py
+++ b/packages/wasabideck_entry/wasabideck_entry/caller_endpoint.py
@@ -22,8 +22,8 @@
     WasabideckError,
 )
 
-from .calls import Call, Caller, Ended, Part, Started
-from .identity import organisation_of
+from .authentication import organisation_of
+from .call_runner import Call, CallRunner, Completed, Started, StreamEvent
 
 __all__ = ["CallerEndpoint", "add_caller_routes", "problem_response"]
 
@@ -50,7 +50,7 @@
     """Settings and components that the callers' routes use."""
 
     cfg: EntrySettings
-    caller: Caller
+    caller: CallRunner
     metrics: Metrics
 
     def service(self, name: str) -> ServiceSettings:
@@ -85,7 +85,7 @@
             priority=settings.priorities.get(route, settings.priority),
             deadline=time.monotonic()
             + _timeout_seconds(req, settings.deadline_seconds),
-            again=_attempt_number(req) > 1,
+            is_retry=_attempt_number(req) > 1,
         )
 
 
@@ -104,11 +104,11 @@
         # Closed as soon as the caller disconnects, so that the attempt is cancelled.
         async with aclosing(endpoint.caller.run(call)) as items:
             async for item in items:
-                if isinstance(item, Ended):
+                if isinstance(item, Completed):
                     outcome = item.outcome
                 elif isinstance(item, Started):
                     started = item
-                elif isinstance(item, Part):
+                elif isinstance(item, StreamEvent):
                     if response is None:
                         response = await _start_response(req, call, started)
                     await response.send(_ndjson_line(_event_object(item.data)))
--- a/packages/wasabideck_entry/wasabideck_entry/pushes.py
+++ b/packages/wasabideck_entry/wasabideck_entry/change_pusher.py
@@ -14,11 +14,11 @@
 
 from .fleet import Fleet
 
-__all__ = ["Pusher"]
+__all__ = ["ChangePusher"]
 
 
 @define
-class Pusher:
+class ChangePusher:
     """Pushes each change once to a few entries and to the agents that watch this one.
 
     A lost push is not retried: anti-entropy delivers the change within a second, and
--- a/packages/wasabideck_entry/wasabideck_entry/caller_limits.py
+++ b/packages/wasabideck_entry/wasabideck_entry/connection_limits.py
@@ -9,7 +9,7 @@
 from attrs import define, field
 from wasabideck_policy.outcomes import WasabideckError
 
-__all__ = ["HeldConnections", "TooManyConnections"]
+__all__ = ["ConnectionLimiter", "TooManyConnections"]
 
 
 class TooManyConnections(WasabideckError):
@@ -26,7 +26,7 @@
 
 
 @define
-class HeldConnections:
+class ConnectionLimiter:
     """Counts open connections by the organisation of their latest request.
 
     A connection carries one request at a time, so the limit also bounds the requests
@@ -37,26 +37,26 @@
     ----------
     limits : mapping of str to int
         Maximum number of connections by organisation.
-    held : Counter
+    open_connections : Counter
         Number of open connections by organisation.
     """
 
     limits: Mapping[str, int]
-    held: Counter = field(factory=Counter)
+    open_connections: Counter = field(factory=Counter)
 
-    def enter(self, connection: SimpleNamespace, organisation: str) -> None:
+    def acquire(self, connection: SimpleNamespace, organisation: str) -> None:
         """Count a connection for an organisation; raises ``TooManyConnections``."""
-        self.leave(connection)
+        self.release(connection)
         limit = self.limits.get(organisation)
         if limit is None:
             return
-        if self.held[organisation] >= limit:
+        if self.open_connections[organisation] >= limit:
             raise TooManyConnections(organisation, limit)
-        self.held[organisation] += 1
+        self.open_connections[organisation] += 1
         connection.organisation = organisation
 
-    def leave(self, connection: SimpleNamespace) -> None:
+    def release(self, connection: SimpleNamespace) -> None:
         """Stop counting a connection; safe to repeat."""
         if organisation := getattr(connection, "organisation", None):
-            self.held[organisation] -= 1
+            self.open_connections[organisation] -= 1
             connection.organisation = None
--- a/packages/wasabideck_entry/wasabideck_entry/suspects.py
+++ b/packages/wasabideck_entry/wasabideck_entry/crash_suspects.py
@@ -14,9 +14,9 @@
 from wasabideck_policy.rendezvous import rank_vms
 
 if TYPE_CHECKING:
-    from .calls import Call
+    from .call_runner import Call
 
-__all__ = ["Suspects"]
+__all__ = ["CrashSuspects"]
 
 NOTIFY_TIMEOUT_SECONDS = 0.3
 
@@ -26,7 +26,7 @@
 
 
 @define
-class Suspects:
+class CrashSuspects:
     """Records crashes, notifies the other entries, and restricts suspected requests.
 
     Attributes
@@ -37,7 +37,7 @@
 
     quarantine: Quarantine = field(factory=Quarantine)
     notify_entries: Callable[[], Awaitable[None]] = _notify_none
-    wall: Callable[[], float] = time.time
+    wall_clock: Callable[[], float] = time.time
 
     def fingerprint_of(self, call: Call) -> str:
         """Return the fingerprint of a call."""
@@ -45,11 +45,11 @@
 
     def is_quarantined(self, request_fingerprint: str) -> bool:
         """Whether the request is refused on every server."""
-        return self.quarantine.is_quarantined(request_fingerprint, self.wall())
+        return self.quarantine.is_quarantined(request_fingerprint, self.wall_clock())
 
     def must_run_alone(self, request_fingerprint: str) -> bool:
         """Whether the request may run only on a server without other requests."""
-        return self.quarantine.must_run_alone(request_fingerprint, self.wall())
+        return self.quarantine.must_run_alone(request_fingerprint, self.wall_clock())
 
     def eligible_servers(
         self, request_fingerprint: str, servers: list[ServerState]
@@ -62,7 +62,7 @@
         """
         if not servers or not self.must_run_alone(request_fingerprint):
             return servers
-        crashed = self.quarantine.crashed_vms(request_fingerprint, self.wall())
+        crashed = self.quarantine.crashed_vms(request_fingerprint, self.wall_clock())
         by_vm = {s.vm: s for s in servers if s.vm not in crashed}
         return [by_vm[rank_vms(request_fingerprint, by_vm)[0]]] if by_vm else []
 
@@ -70,7 +70,9 @@
         """Record an outcome; notify the other entries of a crash before any retry."""
         if not isinstance(outcome, Unknown) or not outcome.crash:
             return
-        self.quarantine.record_crash(request_fingerprint, outcome.crash, self.wall())
+        self.quarantine.record_crash(
+            request_fingerprint, outcome.crash, self.wall_clock()
+        )
         try:
             async with asyncio.timeout(NOTIFY_TIMEOUT_SECONDS):
                 await self.notify_entries()
--- a/packages/wasabideck_entry/wasabideck_entry/entry.py
+++ b/packages/wasabideck_entry/wasabideck_entry/entry.py
@@ -33,16 +33,16 @@
 from wasabideck_policy.membership import ENTRY, Member, head_pollers
 from wasabideck_wire import inner_pb2 as pb
 
-from .calls import Caller
-from .connections import in_progress
+from .attempt_resolver import AttemptResolver
+from .call_runner import CallRunner
+from .caller_endpoint import CallerEndpoint, add_caller_routes
+from .change_pusher import ChangePusher
+from .crash_suspects import CrashSuspects
 from .fleet import Fleet
-from .front import CallerEndpoint, add_caller_routes
-from .listener import HttpOptions, close_http, make_app, serve_http
-from .operators import OperatorEndpoint, add_operator_routes
-from .pushes import Pusher
-from .resolve import Resolver
-from .suspects import Suspects
-from .watching import StatusWatcher
+from .http_server import HttpOptions, close_http, make_app, serve_http
+from .idle_connections import count_requests_in_progress
+from .operator_endpoint import OperatorEndpoint, add_operator_routes
+from .status_watcher import StatusWatcher
 
 __all__ = ["serve_entry"]
 
@@ -64,9 +64,9 @@
     platform: PlatformClients
     ticket_replication: TicketReplication
     peers: PeersService
-    pusher: Pusher
+    pusher: ChangePusher
     fleet: Fleet
-    caller: Caller
+    caller: CallRunner
     metrics: Metrics
     shutting_down: bool = False
     events_lost: Callable[[], int] = int
@@ -149,7 +149,7 @@
     @property
     def in_progress(self) -> int:
         """Callers' requests in progress, including responses being streamed."""
-        return in_progress(self.http) if self.http else 0
+        return count_requests_in_progress(self.http) if self.http else 0
 
     def status(self, req: pb.StatusRequest) -> pb.StatusReply:
         """Return the status that this entry reports to other processes."""
@@ -208,11 +208,11 @@
     rng = random.Random(f"{cfg.seed}/{cfg.process.vm}/{time.time_ns()}")
     ticket_replication = TicketReplication(cfg.process.vm, events)
     platform = create_platform_clients(cfg.platform, session)
-    suspects = Suspects(ticket_replication.quarantine, wall=events.wall)
-    resolver = Resolver(platform.table)
+    suspects = CrashSuspects(ticket_replication.quarantine, wall_clock=events.wall)
+    resolver = AttemptResolver(platform.table)
     entry: Entry
     peers = PeersService(ticket_replication, lambda req: entry.status(req))
-    pusher = Pusher(
+    pusher = ChangePusher(
         cfg.process.data_centre, ticket_replication, peers, fleet, channels, rng
     )
     ticket_replication.add_listener(pusher.enqueue)
@@ -225,7 +225,7 @@
         peers,
         pusher,
         fleet,
-        Caller(
+        CallRunner(
             fleet, channels, events, POLICIES[cfg.routing](), rng, suspects, resolver
         ),
         Metrics(),
@@ -256,7 +256,7 @@
     entry.events.emit("process.leaving", kind=ENTRY)
     await asyncio.sleep(READINESS_DELAY_SECONDS)
     await close_http(entry.http, DRAIN_TIMEOUT_SECONDS)
-    await entry.caller.settled(CANCEL_WAIT_SECONDS)
+    await entry.caller.wait_for_cancels(CANCEL_WAIT_SECONDS)
 
 
 def _make_entry_app(entry: Entry, options: HttpOptions) -> Sanic:
--- a/packages/wasabideck_entry/wasabideck_entry/fleet.py
+++ b/packages/wasabideck_entry/wasabideck_entry/fleet.py
@@ -74,7 +74,7 @@
         """Return the listed entries without this one."""
         return [m for m in self.members if m.kind == ENTRY and m.vm != self.vm]
 
-    def candidates(self, service: str, excluded: set[str]) -> list[ServerState]:
+    def eligible_servers(self, service: str, excluded: set[str]) -> list[ServerState]:
         """Return the servers of a service that may be sent new requests."""
         usable = {
             s.vm: s
@@ -85,7 +85,7 @@
         healthy = self.outliers.healthy(usable, self.clock())
         return [server for vm, server in usable.items() if vm in healthy]
 
-    def observe(self, server: ServerState, outcome: Outcome) -> None:
+    def record_outcome(self, server: ServerState, outcome: Outcome) -> None:
         """Record the outcome of an attempt on a server."""
         if isinstance(outcome, Answered):
             self.outliers.record_success(server.vm)
--- a/packages/wasabideck_entry/wasabideck_entry/listener.py
+++ b/packages/wasabideck_entry/wasabideck_entry/http_server.py
@@ -21,10 +21,10 @@
 from wasabideck_policy.outcomes import WasabideckError
 from wasabideck_policy.tickets import MAX_TICKET_BYTES
 
-from .caller_limits import HeldConnections
-from .connections import close_idle
-from .front import problem_response
-from .identity import authenticate
+from .authentication import authenticate
+from .caller_endpoint import problem_response
+from .connection_limits import ConnectionLimiter
+from .idle_connections import close_idle_connections
 
 __all__ = ["HttpOptions", "close_http", "make_app", "serve_http"]
 
@@ -102,20 +102,22 @@
     server.close()
     close_by = time.monotonic() + seconds
     while server.connections and time.monotonic() < close_by:
-        close_idle(server)
+        close_idle_connections(server)
         await asyncio.sleep(CLOSE_POLL_INTERVAL_SECONDS)
 
 
 def _add_request_checks(app: Sanic, options: HttpOptions) -> None:
     callers = options.cfg.callers
-    connections = HeldConnections({c.organisation: c.most_connections for c in callers})
+    connections = ConnectionLimiter(
+        {c.organisation: c.most_connections for c in callers}
+    )
 
     # A request is checked once its head has been read, so that a wrong credential is
     # refused before the body is received.
     @app.signal("http.routing.after")
     async def admit(request: Request, **routed: object) -> None:
         request.ctx.principal = authenticate(options.cfg, request.path, request.headers)
-        connections.enter(request.conn_info.ctx, request.ctx.principal)
+        connections.acquire(request.conn_info.ctx, request.ctx.principal)
         request.stream.request_max_size = max_bytes = _max_body_bytes(
             options, request.path
         )
@@ -126,7 +128,7 @@
 
     @app.signal("http.lifecycle.complete")
     async def leave(conn_info: ConnInfo, **_: object) -> None:
-        connections.leave(conn_info.ctx)
+        connections.release(conn_info.ctx)
 
     @app.exception(WasabideckError)
     async def refuse(req: Request, exc: WasabideckError) -> HTTPResponse:
--- a/packages/wasabideck_entry/wasabideck_entry/connections.py
+++ b/packages/wasabideck_entry/wasabideck_entry/idle_connections.py
@@ -5,10 +5,10 @@
 from sanic.http import Stage
 from sanic.server import AsyncioServer, HttpProtocol
 
-__all__ = ["close_idle", "in_progress"]
+__all__ = ["close_idle_connections", "count_requests_in_progress"]
 
 
-def in_progress(server: AsyncioServer) -> int:
+def count_requests_in_progress(server: AsyncioServer) -> int:
     """Return the number of requests being received, run, or responded to.
 
     A request counts until the last byte of its response is sent. sanic's response
@@ -18,7 +18,7 @@
     return sum(not _is_idle(conn) for conn in server.connections)
 
 
-def close_idle(server: AsyncioServer) -> None:
+def close_idle_connections(server: AsyncioServer) -> None:
     """Close the keep-alive connections that have no request in progress."""
     for conn in list(server.connections):
         if _is_idle(conn):
--- a/packages/wasabideck_entry/wasabideck_entry/operators.py
+++ b/packages/wasabideck_entry/wasabideck_entry/operator_endpoint.py
@@ -22,9 +22,9 @@
 from wasabideck_policy.outcomes import WasabideckError
 from wasabideck_policy.tickets import MAX_TICKET_BYTES, TicketError, parse_ticket
 
+from .change_pusher import ChangePusher
 from .fleet import Fleet
-from .pushes import Pusher
-from .report import ReportFilter
+from .report_filter import ReportFilter
 
 __all__ = ["OperatorEndpoint", "TicketUnheard", "add_operator_routes"]
 
@@ -46,7 +46,7 @@
     table: Table
     ticket_replication: TicketReplication
     fleet: Fleet
-    pusher: Pusher
+    pusher: ChangePusher
     events: Events
 
     async def submit(self, body: bytes, source: str, operator: str) -> dict:
@@ -119,7 +119,7 @@
 
     async def report(req: Request, operator: str) -> list[dict]:
         report_filter = ReportFilter.from_query(dict(req.query_args))
-        return report_filter.keep(await endpoint.report(report_filter.prefix))
+        return report_filter.matching_rows(await endpoint.report(report_filter.prefix))
 
     async def fleet(req: Request, operator: str) -> list[dict]:
         return endpoint.fleet_status()
--- a/packages/wasabideck_entry/wasabideck_entry/show.py
+++ b/packages/wasabideck_entry/wasabideck_entry/operator_output.py
@@ -11,8 +11,8 @@
     "print_servers",
     "print_ticket",
     "print_tickets",
-    "show_json",
-    "show_report",
+    "print_json",
+    "print_deliveries",
 ]
 
 REPORT_HEADINGS = (
@@ -36,12 +36,12 @@
 )
 
 
-def show_json(value: object) -> None:
+def print_json(value: object) -> None:
     """Print one line of JSON."""
     print(orjson.dumps(value).decode())
 
 
-def show_report(rows: Sequence[dict]) -> None:
+def print_deliveries(rows: Sequence[dict]) -> None:
     """Print delivery rows: the weights, times and sources of each delivery to a VM."""
     _print_table(REPORT_HEADINGS, (_report_row(row) for row in rows))
 
--- a/packages/wasabideck_entry/wasabideck_entry/report.py
+++ b/packages/wasabideck_entry/wasabideck_entry/report_filter.py
@@ -9,7 +9,7 @@
 from attrs import frozen
 from wasabideck_policy.outcomes import WasabideckError
 
-__all__ = ["FilterError", "ReportFilter", "moment"]
+__all__ = ["FilterError", "ReportFilter", "parse_time"]
 
 
 class FilterError(WasabideckError):
@@ -24,7 +24,7 @@
         self.value = value
 
 
-def moment(field: str, text: str) -> float:
+def parse_time(field: str, text: str) -> float:
     """Return an ISO 8601 time as seconds since the epoch; 0 for an empty text.
 
     A time without an offset is in UTC.
@@ -74,7 +74,7 @@
         """Prefix of the keys of all rows that can match."""
         return f"{self.ticket:020d}/" if self.ticket else ""
 
-    def keep(self, rows: Iterable[dict]) -> list[dict]:
+    def matching_rows(self, rows: Iterable[dict]) -> list[dict]:
         """Return the rows that match, in their order."""
         return [row for row in rows if self._matches(row)]
 
--- a/packages/wasabideck_entry/wasabideck_entry/timeline.py
+++ b/packages/wasabideck_entry/wasabideck_entry/timeline.py
@@ -17,7 +17,7 @@
     "Timeline",
     "format_fields",
     "merge_events",
-    "show_timeline",
+    "print_timeline",
 ]
 
 _HIDDEN_FIELDS = {"hlc", "vm", "message_type", "timestamp", "task_uuid", "task_level"}
@@ -40,7 +40,7 @@
     """
 
     events: list[dict] = field(factory=list)
-    unreadable: dict[str, int] = field(factory=dict)
+    unreadable_lines: dict[str, int] = field(factory=dict)
 
 
 def merge_events(files: Iterable[str]) -> Timeline:
@@ -58,12 +58,12 @@
     return merged
 
 
-def show_timeline(files: Sequence[str], json: bool) -> None:
+def print_timeline(files: Sequence[str], json: bool) -> None:
     """Print the merged events, each as a line of JSON or a line of text."""
     merged = merge_events(files)
     for event in merged.events:
         print(orjson.dumps(event).decode() if json else _event_line(event))
-    for file, lines in merged.unreadable.items():
+    for file, lines in merged.unreadable_lines.items():
         print(f"{file}: {lines} lines are no whole events", file=sys.stderr)
 
 
@@ -91,7 +91,7 @@
         if valid:
             merged.events.append(event)
         else:
-            merged.unreadable[file] = merged.unreadable.get(file, 0) + 1
+            merged.unreadable_lines[file] = merged.unreadable_lines.get(file, 0) + 1
 
 
 def _event_line(event: dict) -> str:
--- a/packages/wasabideck_lab/wasabideck_lab/demo.py
+++ b/packages/wasabideck_lab/wasabideck_lab/demo.py
@@ -11,8 +11,8 @@
 import orjson
 from attrs import frozen
 from wasabideck_base.event_kinds import EVENT_KINDS
-from wasabideck_entry.show import show_report
-from wasabideck_entry.timeline import merge_events, show_timeline
+from wasabideck_entry.operator_output import print_deliveries
+from wasabideck_entry.timeline import merge_events, print_timeline
 
 from .lab_fleet import CALLER_TOKEN, OPERATOR_TOKEN, LabFleet
 from .random_weights import generate_weights
@@ -133,7 +133,7 @@
         f"end of draft {session.draft[-1]}": not _is_answered(session.draft),
         f"end of order {session.order[-1]}": not _is_answered(session.order),
         f"runs of the order {session.order_runs}": session.order_runs != {ORDER_KEY: 1},
-        f"unreadable events {merged.unreadable}": bool(merged.unreadable),
+        f"unreadable events {merged.unreadable_lines}": bool(merged.unreadable_lines),
         f"unknown events {kinds - EVENT_KINDS.keys()}": not kinds <= EVENT_KINDS.keys(),
         f"missing metrics {_missing_samples(session.metrics)}": bool(
             _missing_samples(session.metrics)
@@ -250,9 +250,9 @@
     with tempfile.TemporaryDirectory() as folder:
         session = asyncio.run(run_session(Path(folder)))
         print("== report: who got which weights, when, and from where")
-        show_report(session.report)
+        print_deliveries(session.report)
         print("== time line")
-        show_timeline([str(path) for path in session.events], json=False)
+        print_timeline([str(path) for path in session.events], json=False)
         deviations = find_deviations(session)
     print("== answers")
     print("".join(line.get("text", "") for line in session.draft).strip())
--- a/tests/agent_entry_fakes.py
+++ b/tests/agent_entry_fakes.py
@@ -16,10 +16,10 @@
 from wasabideck_base.http_responses import PlatformUnavailable
 from wasabideck_base.server_clients import ServedState
 from wasabideck_base.table import CheckFailed
-from wasabideck_entry.calls import Call, Caller, Ended, Part
-from wasabideck_entry.resolve import Resolver
-from wasabideck_entry.streams import AttemptStream
-from wasabideck_entry.suspects import Suspects
+from wasabideck_entry.attempt_resolver import AttemptResolver
+from wasabideck_entry.attempt_stream import AttemptStream
+from wasabideck_entry.call_runner import Call, CallRunner, Completed, StreamEvent
+from wasabideck_entry.crash_suspects import CrashSuspects
 from wasabideck_policy.admission import AdmissionControl
 from wasabideck_policy.attempt_registry import AttemptRegistry
 from wasabideck_policy.load_balancing import ServerState as Target
@@ -322,17 +322,17 @@
 
 
 def make_caller(*servers, quarantine=None, now=None, table=None):
-    suspects = Suspects(quarantine or Quarantine(), wall=lambda: 1000.0)
-    return Caller(
+    suspects = CrashSuspects(quarantine or Quarantine(), wall_clock=lambda: 1000.0)
+    return CallRunner(
         FakeFleet(*servers),
         Channels(HybridClock()),
         FakeEvents(),
         lambda servers, ask, now, rng: servers[0],
         random.Random(7),
         suspects,
-        Resolver(table or FakeTable()),
+        AttemptResolver(table or FakeTable()),
         clock=now or Now(),
-        silence=0.2,
+        receive_timeout=0.2,
     )
 
 
@@ -355,8 +355,8 @@
 async def answer(caller, a_call):
     text, outcome = b"", None
     async for item in caller.run(a_call):
-        if isinstance(item, Part):
+        if isinstance(item, StreamEvent):
             text += item.data
-        if isinstance(item, Ended):
+        if isinstance(item, Completed):
             outcome = item.outcome
     return text, outcome
--- a/tests/cluster_state/test_unknown_declaration_times.py
+++ b/tests/cluster_state/test_unknown_declaration_times.py
@@ -11,7 +11,7 @@
     row,
     store_answers,
 )
-from test_version_dates import run_pending_tasks
+from test_declaration_times import run_pending_tasks
 from wasabideck_base.declaration_times import TIMES_TABLE
 from wasabideck_base.rows import Row, RowChanges
 from wasabideck_policy.membership import AGENT, ENTRY
--- a/tests/cluster_state/test_version_ages.py
+++ b/tests/cluster_state/test_version_ages.py
@@ -11,7 +11,7 @@
     row,
     store_answers,
 )
-from test_version_dates import AHEAD, FakeStore, Process, StoppedClock
+from test_declaration_times import AHEAD, FakeStore, Process, StoppedClock
 from wasabideck_base.gossip import Gossip
 from wasabideck_base.gossip_messages import age_entries, declaration_entry
 from wasabideck_base.rows import RowChanges
--- a/tests/product/test_identity.py
+++ b/tests/product/test_authentication.py
@@ -7,7 +7,7 @@
 from attrs import evolve
 from wasabideck_base.process import AddressUnusable
 from wasabideck_base.settings import CallerSettings
-from wasabideck_entry.identity import NotAuthorised, authenticate, organisation_of
+from wasabideck_entry.authentication import NotAuthorised, authenticate, organisation_of
 
 OPERATOR = "sample-operator-token"
 CALLER = "sample-caller-token"
--- a/tests/product/test_commands.py
+++ b/tests/product/test_commands.py
@@ -9,7 +9,7 @@
 from wasabideck_base.settings import AccessSettings
 from wasabideck_entry import __main__ as entry_main
 from wasabideck_entry.operator_client import AcceptanceUnknown, OperatorClient
-from wasabideck_entry.report import FilterError, ReportFilter, moment
+from wasabideck_entry.report_filter import FilterError, ReportFilter, parse_time
 
 TOKEN = "sample-operator-token"
 
@@ -132,7 +132,7 @@
 )
 def test_a_report_is_filtered(query, expected_rows):
     report_filter = ReportFilter.from_query(query)
-    assert report_filter.keep(ROWS) == [ROWS[i] for i in expected_rows]
+    assert report_filter.matching_rows(ROWS) == [ROWS[i] for i in expected_rows]
     assert ReportFilter.from_query(report_filter.to_query()) == report_filter
 
 
@@ -147,5 +147,5 @@
 
 
 def test_a_time_without_offset_is_utc():
-    assert moment("since", "1970-01-01T00:01:00") == 60
-    assert moment("since", "1970-01-01T02:01:00+02:00") == 60
+    assert parse_time("since", "1970-01-01T00:01:00") == 60
+    assert parse_time("since", "1970-01-01T02:01:00+02:00") == 60
--- a/tests/product/test_input_limits.py
+++ b/tests/product/test_input_limits.py
@@ -21,7 +21,7 @@
 from wasabideck_base.members import MemberListClient
 from wasabideck_base.settings import CallerSettings
 from wasabideck_base.ticket_replication import PeersService
-from wasabideck_entry.caller_limits import HeldConnections, TooManyConnections
+from wasabideck_entry.connection_limits import ConnectionLimiter, TooManyConnections
 from wasabideck_policy.tickets import MAX_TICKET_BYTES
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.convert import assignments_from_entries
@@ -115,21 +115,21 @@
 
 
 def test_connection_counts_for_caller_of_its_newest_request():
-    held = HeldConnections({"a": 1, "b": 1})
+    held = ConnectionLimiter({"a": 1, "b": 1})
 
     class Connection:
         pass
 
     first, second = Connection(), Connection()
-    held.enter(first, "a")
-    held.enter(first, "a")
+    held.acquire(first, "a")
+    held.acquire(first, "a")
     with pytest.raises(TooManyConnections):
-        held.enter(second, "a")
-    held.enter(first, "b")
-    held.enter(second, "a")
-    held.leave(first)
-    held.leave(first)
-    assert +held.held == {"a": 1}
+        held.acquire(second, "a")
+    held.acquire(first, "b")
+    held.acquire(second, "a")
+    held.release(first)
+    held.release(first)
+    assert +held.open_connections == {"a": 1}
 
 
 @pytest.fixture
--- a/tests/product/test_timeline.py
+++ b/tests/product/test_timeline.py
@@ -8,7 +8,7 @@
 from wasabideck_base.event_kinds import EVENT_KINDS
 from wasabideck_base.metrics import Metrics, render_metrics
 from wasabideck_entry.picture import draw_timeline
-from wasabideck_entry.timeline import EventsUnreadable, merge_events, show_timeline
+from wasabideck_entry.timeline import EventsUnreadable, merge_events, print_timeline
 
 ROOT = Path(__file__).parents[2]
 
@@ -55,8 +55,8 @@
         file.write(tail)
     merged = merge_events(files)
     assert len(merged.events) == 4
-    assert merged.unreadable == {files[1]: 1}
-    show_timeline(files, json=True)
+    assert merged.unreadable_lines == {files[1]: 1}
+    print_timeline(files, json=True)
     out, err = capsys.readouterr()
     assert len(out.splitlines()) == 4
     assert files[1] in err
--- a/tests/sessions/test_answers_session.py
+++ b/tests/sessions/test_answers_session.py
@@ -14,9 +14,15 @@
 from wasabideck_base.channels import Channels
 from wasabideck_base.events import HybridClock
 from wasabideck_base.server_clients import ServerFailed
-from wasabideck_entry.calls import Call, Caller, Ended, Part, Started
-from wasabideck_entry.resolve import Resolver
-from wasabideck_entry.suspects import Suspects
+from wasabideck_entry.attempt_resolver import AttemptResolver
+from wasabideck_entry.call_runner import (
+    Call,
+    CallRunner,
+    Completed,
+    Started,
+    StreamEvent,
+)
+from wasabideck_entry.crash_suspects import CrashSuspects
 from wasabideck_policy.load_balancing import ServerState
 from wasabideck_policy.quarantine import Quarantine
 
@@ -56,14 +62,14 @@
     ]
     agents = [await agent.serve() for agent in draft_agents + order_agents]
     events = FakeEvents()
-    caller = Caller(
+    caller = CallRunner(
         Fleet(agents),
         Channels(HybridClock()),
         events,
         lambda servers, ask, now, rng: servers[0],
         random.Random(rng.random()),
-        Suspects(Quarantine(), wall=events.wall),
-        Resolver(table),
+        CrashSuspects(Quarantine(), wall_clock=events.wall),
+        AttemptResolver(table),
         clock=now,
     )
     steps = {}
@@ -116,15 +122,15 @@
         service == "drafting",
         1,
         deadline=caller.clock() + 50,
-        again=again,
+        is_retry=again,
     )
     shown = {"text": ""}
     async for item in caller.run(call):
         if isinstance(item, Started):
             shown["from"] = [item.ticket, item.version]
-        if isinstance(item, Part):
+        if isinstance(item, StreamEvent):
             shown["text"] += item.data.decode()
-        if isinstance(item, Ended):
+        if isinstance(item, Completed):
             shown["outcome"] = type(item.outcome).__name__
             failure = getattr(item.outcome, "failure", None)
             shown["reason"] = failure.kind if failure else ""
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -16,7 +16,7 @@
 )
 from wasabideck_agent import attempts
 from wasabideck_agent.attempts import MAX_UNSENT_BYTES
-from wasabideck_entry.calls import Part
+from wasabideck_entry.call_runner import StreamEvent
 from wasabideck_lab.relay import Relay
 from wasabideck_policy.outcomes import Answered, Unknown
 from wasabideck_wire import inner_pb2 as pb
@@ -231,7 +231,7 @@
         one.engine.turn.release()
         items = caller.run(call())
         async for item in items:
-            if isinstance(item, Part):
+            if isinstance(item, StreamEvent):
                 break
         await items.aclose()
         await caller.settled(2.0)
--- a/tests/test_server_clients.py
+++ b/tests/test_server_clients.py
@@ -18,7 +18,10 @@
     ServerRefused,
     ServerSilent,
 )
-from wasabideck_entry.connections import close_idle, in_progress
+from wasabideck_entry.idle_connections import (
+    close_idle_connections,
+    count_requests_in_progress,
+)
 from wasabideck_lab.lab_fleet import serve_standin
 
 
@@ -129,13 +132,13 @@
         async with aiohttp.ClientSession() as session:
             async with session.get(f"http://127.0.0.1:{port}/") as answer:
                 assert await answer.content.readany() == b"first "
-                assert in_progress(server) == 1
-                close_idle(server)
+                assert count_requests_in_progress(server) == 1
+                close_idle_connections(server)
                 proceed.set()
                 assert await answer.content.read() == b"second"
-            while in_progress(server):
+            while count_requests_in_progress(server):
                 await asyncio.sleep(0)
-            close_idle(server)
+            close_idle_connections(server)
         server.close()
         Sanic.unregister_app(app)
 
--- a/tests/test_watching.py
+++ b/tests/test_status_watcher.py
@@ -9,7 +9,7 @@
 from wasabideck_base.events import HybridClock
 from wasabideck_base.ticket_replication import PeersService
 from wasabideck_entry.fleet import Fleet
-from wasabideck_entry.watching import StatusWatcher
+from wasabideck_entry.status_watcher import StatusWatcher
 from wasabideck_policy.membership import AGENT, ENTRY, Member
 from wasabideck_wire import inner_pb2 as pb
 from wasabideck_wire.inner_grpc import PeersStub
@@ -74,7 +74,7 @@
             fleet.update_members([Member("entry-1", ENTRY, "e"), *agents])
             task = asyncio.create_task(StatusWatcher(fleet, ShortestDelay()).run())
             try:
-                await wait_until(lambda: fleet.candidates("s", set()))
+                await wait_until(lambda: fleet.eligible_servers("s", set()))
                 return await body(agent, fleet)
             finally:
                 task.cancel()
@@ -91,7 +91,9 @@
 ):
     # Guards against requests that are sent to a VM being replaced until the entry's
     # next status query, which with many servers was more than a second later.
-    monkeypatch.setattr("wasabideck_entry.watching.poll_pause", lambda servers: 60.0)
+    monkeypatch.setattr(
+        "wasabideck_entry.status_watcher.poll_pause", lambda servers: 60.0
+    )
 
     async def body(agent, fleet):
         await wait_until(lambda: agent.report_count >= 2)
@@ -106,8 +108,10 @@
 def test_an_unresponsive_stream_is_replaced(watched, monkeypatch):
     # A middlebox drops the connection's state. Without a timeout the entry would keep
     # the last report forever and send requests to a server that no longer exists.
-    monkeypatch.setattr("wasabideck_entry.watching.STATUS_TIMEOUT_SECONDS", 0.05)
-    monkeypatch.setattr("wasabideck_entry.watching.poll_pause", lambda servers: 0.05)
+    monkeypatch.setattr("wasabideck_entry.status_watcher.STATUS_TIMEOUT_SECONDS", 0.05)
+    monkeypatch.setattr(
+        "wasabideck_entry.status_watcher.poll_pause", lambda servers: 0.05
+    )
 
     async def body(agent, fleet):
         agent.service.sends_nothing = True
@@ -142,7 +146,9 @@
     # All agents are replaced and the list has their new addresses. Every request was
     # refused with NoServer until the next check of the watches, a quarter of a second
     # later.
-    monkeypatch.setattr("wasabideck_entry.watching.CHECK_INTERVAL_SECONDS", 3600.0)
+    monkeypatch.setattr(
+        "wasabideck_entry.status_watcher.CHECK_INTERVAL_SECONDS", 3600.0
+    )
 
     async def body(agent, fleet):
         replacement = Agent()
@@ -159,7 +165,9 @@
 def test_a_failed_watch_is_restarted(watched, monkeypatch):
     # An unexpected error ends a watch. Without a restart the server's last report
     # would be kept forever, such as "serving" for a server that no longer exists.
-    monkeypatch.setattr("wasabideck_entry.watching.poll_pause", lambda servers: 0.05)
+    monkeypatch.setattr(
+        "wasabideck_entry.status_watcher.poll_pause", lambda servers: 0.05
+    )
 
     async def body(agent, fleet):
         query, failures = fleet.query, [ValueError("unforeseen")]
--- a/tests/two_builds.py
+++ b/tests/two_builds.py
@@ -143,7 +143,7 @@
             await lab.restart(vm)
         entries = [lab.processes[vm] for vm in ("entry-1", "entry-2")]
         await ticket_round(folder, entries, digests, 3, 0)
-        runs = dict(lab.plain_services["order-1"].runs)
+        runs = dict(lab.plain_services["order-1"].runs_by_key)
         expect(set(runs.values()) == {1}, f"a claimed call ran twice: {runs}")
     finally:
         codes = await lab.close()
