--- a/packages/wasabideck_entry/wasabideck_entry/calls.py
+++ b/packages/wasabideck_entry/wasabideck_entry/calls.py
@@ -271,7 +271,7 @@
     """Return the outcome for a caller that may have sent this key before.
 
     The caller's earlier request may have run although this one did not, unless this
-    one held the key's bar: no other attempt can have run under a held bar.
+    one held the key's claim: no other attempt can have run under a held claim.
     """
     if not call.again or call.repeatable or not isinstance(outcome, NotRun):
         return outcome
--- a/packages/wasabideck_entry/wasabideck_entry/entry.py
+++ b/packages/wasabideck_entry/wasabideck_entry/entry.py
@@ -118,10 +118,10 @@
             *(self._sync_with(m, len(others)) for m in peers_to_sync.values())
         )
 
-    async def _sync_with(self, member: Member, entry_count: int) -> None:
+    async def _sync_with(self, member: Member, other_entry_count: int) -> None:
         channel = self.channels.get(member.address)
         try:
-            await self.ticket_replication.sync(member.vm, channel, entry_count)
+            await self.ticket_replication.sync(member.vm, channel, other_entry_count)
         except LINK_FAILURES:
             self.channels.drop(member.address, channel)
 
--- a/packages/wasabideck_entry/wasabideck_entry/operators.py
+++ b/packages/wasabideck_entry/wasabideck_entry/operators.py
@@ -67,29 +67,29 @@
         await self.pusher.push_until_received(changes)
         return _ticket_object(accepted)
 
-    async def show(self, number: int) -> dict:
+    async def get_ticket(self, number: int) -> dict:
         """Return an accepted ticket; raise ``TicketUnheard`` if it certainly is not."""
         accepted = await settle_ticket(self.table, number)
         if accepted is None:
             raise TicketUnheard(number)
         return _ticket_object(accepted)
 
-    async def status(self, number: int) -> dict:
+    async def get_ticket_status(self, number: int) -> dict:
         """Return an accepted ticket with the VMs on which it is in effect."""
-        ticket = await self.show(number)
-        rows = await self.report(f"{number:020d}/")
+        ticket = await self.get_ticket(number)
+        rows = await self.list_deliveries(f"{number:020d}/")
         ticket["in_force"] = sorted(row["vm"] for row in rows if row["in_force"])
         return ticket
 
-    async def list(self) -> list[dict]:
+    async def list_tickets(self) -> list[dict]:
         """Return all accepted tickets, sorted by number."""
         return [_ticket_object(accepted) for accepted in await list_tickets(self.table)]
 
-    async def report(self, prefix: str = "") -> list[dict]:
+    async def list_deliveries(self, prefix: str = "") -> list[dict]:
         """Return the delivery rows whose key has a prefix."""
         return [row for _, row in await self.table.scan("deliveries", prefix)]
 
-    def fleet_status(self) -> list[dict]:
+    def list_servers(self) -> list[dict]:
         """Return the state of every server that this entry uses."""
         return [asdict(server) for server in self.fleet.servers.values()]
 
@@ -109,20 +109,22 @@
         return await endpoint.submit(req.body, source, operator)
 
     async def show(req: Request, operator: str, number: int) -> dict:
-        return await endpoint.show(number)
+        return await endpoint.get_ticket(number)
 
     async def status(req: Request, operator: str, number: int) -> dict:
-        return await endpoint.status(number)
+        return await endpoint.get_ticket_status(number)
 
     async def list_all(req: Request, operator: str) -> list[dict]:
-        return await endpoint.list()
+        return await endpoint.list_tickets()
 
     async def report(req: Request, operator: str) -> list[dict]:
         report_filter = ReportFilter.from_query(dict(req.query_args))
-        return report_filter.keep(await endpoint.report(report_filter.prefix))
+        return report_filter.keep(
+            await endpoint.list_deliveries(report_filter.key_prefix)
+        )
 
     async def fleet(req: Request, operator: str) -> list[dict]:
-        return endpoint.fleet_status()
+        return endpoint.list_servers()
 
     route("POST", "/v1/tickets", submit)
     route("GET", "/v1/tickets", list_all)
--- a/packages/wasabideck_entry/wasabideck_entry/report.py
+++ b/packages/wasabideck_entry/wasabideck_entry/report.py
@@ -70,7 +70,7 @@
         return {name: str(value) for name, value in values.items() if value}
 
     @property
-    def prefix(self) -> str:
+    def key_prefix(self) -> str:
         """Prefix of the keys of all rows that can match."""
         return f"{self.ticket:020d}/" if self.ticket else ""
 
