--- a/tests/agent_entry_fakes.py
+++ b/tests/agent_entry_fakes.py
@@ -314,10 +314,10 @@
     def __init__(self, *servers):
         self.servers = servers
 
-    def observe(self, server, outcome):
+    def record_outcome(self, server, outcome):
         pass
 
-    def candidates(self, service, without):
+    def eligible_servers(self, service, without):
         return [s for s in self.servers if s.vm not in without and s.serving]
 
 
--- a/tests/forward/conftest.py
+++ b/tests/forward/conftest.py
@@ -29,7 +29,7 @@
 
 
 def route(prefix="/", kind=Kind.SAFE, **kw):
-    settings = {"timeout": 2.0, "goal": 0.1, "attempts": 2, **kw}
+    settings = {"timeout_seconds": 2.0, "target_seconds": 0.1, "max_attempts": 2, **kw}
     return Route("r", "h.example", prefix, kind, shares=(("s", 1.0),), **settings)
 
 
--- a/tests/forward/test_crashing_requests.py
+++ b/tests/forward/test_crashing_requests.py
@@ -40,7 +40,7 @@
     # crashes any server that runs it, and its caller retries it as a new request at
     # this entry or another one, each time at a healthy server.
     async def scenario():
-        entry = Entry(configuration(route(kind=kind, attempts=1)))
+        entry = Entry(configuration(route(kind=kind, max_attempts=1)))
         for crash in range(MAX_CRASHES):
             await _add_crashing(entry)
             _prefer(entry, f"i-{crash}")
@@ -66,7 +66,7 @@
     # A link loses responses for a while. The servers keep running, and a caller that
     # loses two responses must not be quarantined for crashing servers.
     async def scenario():
-        entry = Entry(configuration(route(kind=Kind.UNSAFE, attempts=1)))
+        entry = Entry(configuration(route(kind=Kind.UNSAFE, max_attempts=1)))
         for number in range(MAX_CRASHES + 1):
             await entry.add_server(resets)
             _prefer(entry, f"i-{number}")
--- a/tests/forward/test_endless_bytes.py
+++ b/tests/forward/test_endless_bytes.py
@@ -64,7 +64,7 @@
 def test_a_lookup_is_answered_by_another_server(play, endless):
     # Guards against a caller that waits until its timeout for an invalid response.
     async def scenario():
-        entry = Entry(configuration(route(timeout=TIMEOUT)))
+        entry = Entry(configuration(route(timeout_seconds=TIMEOUT)))
         await entry.add_server(endless)
         await entry.add_server(answers(b"sound"))
         entry.cluster_state.backends.get("i-1").in_progress = 5
@@ -83,7 +83,7 @@
     # Guards against a response that claims that the request has not run, and against a
     # caller that waits until its timeout.
     async def scenario():
-        entry = Entry(configuration(route(kind=Kind.UNSAFE, timeout=TIMEOUT)))
+        entry = Entry(configuration(route(kind=Kind.UNSAFE, timeout_seconds=TIMEOUT)))
         await entry.add_server(endless)
         second = await entry.add_server(answers(b"sound"))
         entry.cluster_state.backends.get("i-1").in_progress = 5
@@ -104,7 +104,9 @@
     bad = EndlessScript(STREAM_HEAD, b"x" * 500)
 
     async def scenario():
-        stream = route(kind=Kind.STREAM, resumable=True, goal=1.0, timeout=6.0)
+        stream = route(
+            kind=Kind.STREAM, resumable=True, target_seconds=1.0, timeout_seconds=6.0
+        )
         entry = Entry(configuration(stream, engine=ENGINE))
         await entry.add_server(bad, loaded=loaded(1))
         await entry.add_server(streams(event(1), event(2)), loaded=loaded(1))
@@ -125,7 +127,7 @@
     bad = EndlessScript(HEAD + b"X-Pad: ", b"x", pause=0.02)
 
     async def scenario():
-        entry = Entry(configuration(route(timeout=6.0)))
+        entry = Entry(configuration(route(timeout_seconds=6.0)))
         await entry.add_server(bad)
         await entry.add_server(answers(b"sound"))
         entry.cluster_state.backends.get("i-1").in_progress = 5
@@ -147,7 +149,7 @@
     )
 
     async def scenario():
-        entry = Entry(configuration(route(timeout=1.0)))
+        entry = Entry(configuration(route(timeout_seconds=1.0)))
         await entry.add_server(bad)
         caller = await entry.caller()
         await caller.ask()
--- a/tests/forward/test_forwarding.py
+++ b/tests/forward/test_forwarding.py
@@ -168,7 +168,7 @@
     # The only server responds 500, or the second one is unresponsive until the request
     # times out. The caller got 502 or 504 instead of the server's response.
     async def scenario():
-        entry = Entry(configuration(route(timeout=0.6)))
+        entry = Entry(configuration(route(timeout_seconds=0.6)))
         await entry.add_server(answers(b"no", b"500 Internal Server Error"))
         for script in others:
             await entry.add_server(script)
@@ -183,7 +183,7 @@
 
 def test_no_more_servers_are_tried_than_the_route_allows(play):
     async def scenario():
-        entry = Entry(configuration(route(attempts=2)))
+        entry = Entry(configuration(route(max_attempts=2)))
         servers = [await entry.add_server(refuses()) for _ in range(4)]
         caller = await entry.caller()
         await caller.ask()
@@ -308,7 +308,7 @@
 
 def test_a_sent_request_that_times_out_gets_504(play):
     async def scenario():
-        entry = Entry(configuration(route(kind=Kind.UNSAFE, timeout=0.2)))
+        entry = Entry(configuration(route(kind=Kind.UNSAFE, timeout_seconds=0.2)))
         server = await entry.add_server(hangs)
         caller = await entry.caller()
         await caller.ask(method=b"POST", body=b"x")
@@ -407,7 +407,8 @@
 def test_the_longest_prefix_wins(play):
     async def scenario():
         cfg = configuration(
-            route(prefix="/a/", kind=Kind.UNSAFE), route(prefix="/a/b/", timeout=0.1)
+            route(prefix="/a/", kind=Kind.UNSAFE),
+            route(prefix="/a/b/", timeout_seconds=0.1),
         )
         assert cfg.route("h.example", "/a/b/c").prefix == "/a/b/"
         assert cfg.route("h.example", "/a/c").prefix == "/a/"
@@ -481,7 +482,7 @@
     # is a second behind: it runs the timer that starts a hedged request before it reads
     # the caller's close, and another engine writes a draft for nobody.
     async def scenario():
-        entry = Entry(configuration(route(timeout=5.0)))
+        entry = Entry(configuration(route(timeout_seconds=5.0)))
         first_server = await entry.add_server(hangs)
         other = await entry.add_server(answers(), answers())
         first, second = (
@@ -509,7 +510,7 @@
     # A VM is suspended in the middle of a draft. Later callers were sent to the same
     # engine, which still had the fewest requests, and got nothing for seconds.
     async def scenario():
-        entry = Entry(configuration(route(kind=Kind.STREAM, timeout=5.0)))
+        entry = Entry(configuration(route(kind=Kind.STREAM, timeout_seconds=5.0)))
         suspended = await entry.add_server(streams(event(1), then="hang"), *[hangs] * 4)
         await entry.add_server(*[streams(event(n)) for n in range(3)])
         entry.cluster_state.backends.get("i-1").other_requests = 4
@@ -533,7 +534,7 @@
     # because the other had got an event. It was resumed elsewhere after up to 1.4 s
     # instead of 0.7, and its caller disconnected before the next event.
     async def scenario():
-        entry = Entry(configuration(route(**STREAM, timeout=5.0)))
+        entry = Entry(configuration(route(**STREAM, timeout_seconds=5.0)))
         suspended = await entry.add_server(
             streams(event(1), then="hang"),
             streams(event(1), event(2), then="hang", pause=0.15),
@@ -557,7 +558,9 @@
     # sent to a loaded engine as a late request, and no event came before the caller
     # disconnected: half of a draft was read, and both engines had worked for nobody.
     async def scenario():
-        entry = Entry(configuration(route(**STREAM, goal=0.13), engine=ENGINE))
+        entry = Entry(
+            configuration(route(**STREAM, target_seconds=0.13), engine=ENGINE)
+        )
         await entry.add_server(
             streams(event(1), then="reset", pause=0.2), loaded=loaded(1)
         )
--- a/tests/forward/test_late_requests.py
+++ b/tests/forward/test_late_requests.py
@@ -20,14 +20,19 @@
     streams,
 )
 
-STREAM = {"kind": Kind.STREAM, "resumable": True, "goal": 1.0, "timeout": 6.0}
+STREAM = {
+    "kind": Kind.STREAM,
+    "resumable": True,
+    "target_seconds": 1.0,
+    "timeout_seconds": 6.0,
+}
 
 
 def report(entry, name, serving):
     """Have a server's agent report whether it accepts requests."""
     backend = entry.cluster_state.backends.get(name)
     message = EngineReport(backend.listed.address, 1, serving, 1, 0, 0.0, 1)
-    backend.hear(message, asyncio.get_running_loop().time())
+    backend.apply_report(message, asyncio.get_running_loop().time())
 
 
 def test_a_long_stream_of_a_draining_server_is_resumed_elsewhere(play):
@@ -156,7 +161,7 @@
     # Nothing was sent to them. A started stream ended because the only other server
     # that it could be sent to was behind the same congested link.
     async def scenario():
-        entry = Entry(configuration(route(**STREAM, attempts=2), engine=ENGINE))
+        entry = Entry(configuration(route(**STREAM, max_attempts=2), engine=ENGINE))
         await entry.add_server(streams(event(1), then="reset"), loaded=loaded(1))
         unreachable = await entry.add_server(hangs, loaded=loaded(1))
         far = await entry.add_server(streams(event(2)), loaded=loaded(1))
--- a/tests/forward/test_unresponsive_servers.py
+++ b/tests/forward/test_unresponsive_servers.py
@@ -33,7 +33,12 @@
     streams,
 )
 
-STREAM = {"kind": Kind.STREAM, "resumable": True, "goal": 1.0, "timeout": 6.0}
+STREAM = {
+    "kind": Kind.STREAM,
+    "resumable": True,
+    "target_seconds": 1.0,
+    "timeout_seconds": 6.0,
+}
 UNRESPONSIVE_SECONDS = NEXT_EVENT_HEDGE_SECONDS + 0.8
 
 
@@ -237,7 +242,7 @@
     play(scenario)
 
 
-@pytest.mark.parametrize("wait", [ServerResponse.read, lambda a: a.arrived(bool)])
+@pytest.mark.parametrize("wait", [ServerResponse.read, lambda a: a.peek(bool)])
 def test_a_recalled_response_is_not_an_empty_complete_one(play, wait):
     # Guards against passing on an empty response as complete after a recall.
     async def scenario():
@@ -308,7 +313,7 @@
 def test_a_replacements_failure_is_passed_on_if_the_first_stays_unresponsive(play):
     # Guards against an error of the entry instead of the failure that a server sent.
     async def scenario():
-        entry = Entry(configuration(route(timeout=0.8)))
+        entry = Entry(configuration(route(timeout_seconds=0.8)))
         await unresponsive_server(entry, hangs)
         await entry.add_server(answers(b"its own", b"500 Internal Server Error"))
         keep_from(entry, "i-1")
--- a/tests/forward/test_weights.py
+++ b/tests/forward/test_weights.py
@@ -35,7 +35,7 @@
     report = EngineReport(
         backend.listed.address, version, serving, 0, 0, ready_in, newest_version
     )
-    backend.hear(report, asyncio.get_running_loop().time())
+    backend.apply_report(report, asyncio.get_running_loop().time())
     entry.dispatcher.wake()
 
 
--- a/tests/sessions/test_answers_session.py
+++ b/tests/sessions/test_answers_session.py
@@ -32,13 +32,13 @@
 
     region = "region-1"
 
-    def observe(self, server, outcome):
+    def record_outcome(self, server, outcome):
         pass
 
     def __init__(self, agents):
         self.agents = agents
 
-    def candidates(self, service, excluded):
+    def eligible_servers(self, service, excluded):
         return [
             ServerState(
                 a.vm, service, a.address, manifest="m1", incarnation=a.incarnation
@@ -83,7 +83,7 @@
     await step("its server dies midway", "drafting", b"proof note")
     draft_agents[0].engine.dies_at = None
     await step("an order", "orders", b"20 banners", "k1")
-    while any(a.runner.once.unrecorded for a in order_agents):
+    while any(a.runner.at_most_once.pending_records for a in order_agents):
         await asyncio.sleep(0)
     await step("the same order again", "orders", b"20 banners", "k1")
     await step("its key with another body", "orders", b"30 banners", "k1")
--- a/tests/sessions/test_burst_session.py
+++ b/tests/sessions/test_burst_session.py
@@ -64,7 +64,7 @@
         gate = self.gates[server.vm]
         kind = arrival.kind
         waiting = WaitingRequest(
-            arrival.organisation, kind.priority, now, now + kind.deadline
+            arrival.organisation, kind.priority, now, now + kind.deadline_seconds
         )
         self.arrival_of[waiting] = arrival
         if refusal := admit(gate, waiting, now):
@@ -76,7 +76,7 @@
         self.begin(now, gate)
 
     def begin(self, now, gate):
-        for waiting in gate.queue.late(now, gate.service_time):
+        for waiting in gate.queue.expired(now, gate.service_seconds):
             gate.queue.remove(waiting)
             self.sent_to[waiting].in_progress -= 1
             retry_after = timeout_refusal(gate, waiting, now).retry_after
@@ -86,7 +86,7 @@
             self.schedule(now + seconds, self.end, gate, waiting, seconds)
 
     def end(self, now, gate, waiting, seconds):
-        gate.end(seconds)
+        gate.release_slot(seconds)
         self.sent_to[waiting].in_progress -= 1
         in_time = now <= waiting.deadline
         self.outcomes[waiting] = ("answered" if in_time else "answered late", True)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -22,7 +22,7 @@
 from wasabideck_wire import inner_pb2 as pb
 
 
-@pytest.mark.parametrize("fault", ["silence", "cut"])
+@pytest.mark.parametrize("fault", ["stall_connections", "abort_connections"])
 def test_a_stream_resumes_where_its_connection_was_lost(fault):
     """The connection stops transmitting, or breaks, after two words.
 
@@ -160,7 +160,7 @@
     async def body():
         dying = await make_engine_agent("draft-1", engine_kw={"dies_at": 0}).serve()
         full = await make_engine_agent("draft-2").serve()
-        full.runner.gate.leaving = True
+        full.runner.gate.draining = True
         caller = make_caller(make_target(dying), make_target(full))
         _, outcome = await answer(caller, call())
         assert isinstance(outcome, Unknown)
@@ -188,7 +188,7 @@
         assert one.engine.produced < words
         assert attempt._unsent_bytes < MAX_UNSENT_BYTES + 1000
         offset = 0
-        with attempt.reading(one.now):
+        with attempt.attach_reader(one.now):
             while await attempt.wait_for_event(offset, 1.0):
                 attempt.mark_sent(offset)
                 offset += 1
@@ -234,7 +234,7 @@
             if isinstance(item, StreamEvent):
                 break
         await items.aclose()
-        await caller.settled(2.0)
+        await caller.wait_for_cancels(2.0)
         assert len(one.engine.cancelled) == 1
         one.close(), caller.channels.close()
 
@@ -247,7 +247,7 @@
     async def body():
         one = make_engine_agent(engine=GatedEngine())
         attempt = one.runner.start(draft())
-        with attempt.reading(one.now):
+        with attempt.attach_reader(one.now):
             await asyncio.sleep(0)
         while not attempt.started:
             await asyncio.sleep(0)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -60,7 +60,7 @@
         one = agent(FakeTable(plan=list(plan)))
         first = await one.run(order("a1"))
         one.table.apply_late()
-        await wait_until(lambda: not one.runner.once.claims.pending_releases)
+        await wait_until(lambda: not one.runner.at_most_once.claims.pending_releases)
         runs = one.plain.runs.get("k1", 0)
         assert runs == (first.outcome == ANSWERED)
         second = await one.run(order("a2"))
@@ -92,7 +92,7 @@
     async def body():
         one = agent(FakeTable(plan=["ok", "down", "lost", "down"]))
         assert (await one.run(order())).outcome == ANSWERED
-        await wait_until(lambda: not one.runner.once.unrecorded)
+        await wait_until(lambda: not one.runner.at_most_once.pending_records)
         assert stored_response(row(one.table)) == b"receipt of k1"
         again = await one.run(order("a2"))
         assert (again.replayed, one.plain.runs) == (True, {"k1": 1})
@@ -110,7 +110,7 @@
     async def body():
         one = agent(FakeTable(hold=asyncio.Event()))
         attempt = one.runner.start(order())
-        with attempt.reading(one.now):
+        with attempt.attach_reader(one.now):
             await one.table.entered.wait()
             assert await one.runner.cancel(pb.CancelRequest(attempt="a1"))
             one.table.hold.set()
@@ -127,7 +127,7 @@
     async def body():
         one = agent(plain=FakePlain(hold=asyncio.Event()))
         attempt = one.runner.start(order())
-        with attempt.reading(one.now):
+        with attempt.attach_reader(one.now):
             await one.plain.entered.wait()
             assert not await one.runner.cancel(pb.CancelRequest(attempt="a1"))
             one.plain.hold.set()
@@ -146,7 +146,7 @@
     async def body():
         one = agent(FakeTable(hold=asyncio.Event()))
         attempt = one.runner.start(order())
-        with attempt.reading(one.now):
+        with attempt.attach_reader(one.now):
             await one.table.entered.wait()
             one.now.at += 60
             one.table.hold.set()
@@ -244,7 +244,7 @@
     async def body():
         one = agent()
         await one.run(order("a1"))
-        await wait_until(lambda: not one.runner.once.unrecorded)
+        await wait_until(lambda: not one.runner.at_most_once.pending_records)
         other = await one.run(order("a2", body=b"30 banners"))
         assert (other.outcome, other.reason) == (NOT_RUN, "KeyReused")
         assert one.plain.runs == {"k1": 1}
@@ -260,9 +260,9 @@
 def test_claims_that_arrive_together_share_a_transaction():
     async def body():
         one = agent(FakeTable(hold=asyncio.Event()))
-        store = one.runner.once.claims
+        store = one.runner.at_most_once.claims
         claims = [Claim("org-1", f"k{i}", "d", f"a{i}", "vm") for i in range(20)]
-        takes = [asyncio.create_task(store.take(claim)) for claim in claims]
+        takes = [asyncio.create_task(store.acquire(claim)) for claim in claims]
         await one.table.entered.wait()
         one.table.hold.set()
         verdicts = await asyncio.gather(*takes)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
     def get(self, address):
         return address
 
-    def drop(self, address, failed=None):
+    def close_channel(self, address, failed=None):
         pass
 
     def stub(self, address):
@@ -72,11 +72,11 @@
 
 def query_and_list_candidates(fleet):
     asyncio.run(fleet.query_all())
-    return {server.vm for server in fleet.candidates(SERVICE, set())}
+    return {server.vm for server in fleet.eligible_servers(SERVICE, set())}
 
 
 def test_one_round_of_queries_finds_the_usable_servers(fleet):
-    assert not fleet.candidates(SERVICE, set())
+    assert not fleet.eligible_servers(SERVICE, set())
     assert query_and_list_candidates(fleet) == {"a", "b", "c"}
 
 
@@ -111,15 +111,15 @@
     assert query_and_list_candidates(fleet) == {"a", "b", "c"}
     refused = NotRun(Failure("ServerRefused", "503"))
     for _ in range(3):
-        fleet.observe(fleet.servers["a"], refused)
+        fleet.record_outcome(fleet.servers["a"], refused)
     assert query_and_list_candidates(fleet) == {"b", "c"}
     now[0] += 10.0
     assert query_and_list_candidates(fleet) == {"a", "b", "c"}
-    fleet.observe(fleet.servers["a"], Answered())
+    fleet.record_outcome(fleet.servers["a"], Answered())
 
 
 def test_refusals_by_overload_do_not_exclude_a_server(fleet):
     assert query_and_list_candidates(fleet) == {"a", "b", "c"}
     for _ in range(10):
-        fleet.observe(fleet.servers["a"], NotRun(Failure("Overloaded"), 1.0))
+        fleet.record_outcome(fleet.servers["a"], NotRun(Failure("Overloaded"), 1.0))
     assert query_and_list_candidates(fleet) == {"a", "b", "c"}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -129,7 +129,7 @@
 def test_an_idle_server_admits_requests_though_it_was_slow(gate):
     # One stalled response makes the smoothed duration longer than any deadline. If all
     # requests were refused for that, no request could correct the duration.
-    gate.service_time = 60.0
+    gate.service_seconds = 60.0
     assert admit(gate, waiting(deadline=5.0), 0.0) is None
 
 
--- a/tests/test_lost_and_crashing.py
+++ b/tests/test_lost_and_crashing.py
@@ -37,7 +37,7 @@
             caller = make_caller(*map(make_target, agents), quarantine=shared)
             outcomes.append((await answer(caller, call()))[1])
             caller.channels.close()
-        crashes = sum(agent.runner.crashes for agent in agents)
+        crashes = sum(agent.runner.crash_count for agent in agents)
         assert crashes == 2
         assert isinstance(outcomes[0], Unknown)
         assert [o.failure.kind for o in outcomes[1:]] == ["Quarantined"] * 2
@@ -134,7 +134,7 @@
         response = asyncio.create_task(answer(caller, call(False, key="k1")))
         await held.entered.wait()
         attempt = one.runner.attempts.in_progress()[0]
-        with attempt.reading(one.now):
+        with attempt.attach_reader(one.now):
             one.server.close()
             _, outcome = await response
             held.hold.set()
@@ -158,7 +158,7 @@
     async def body():
         caller = make_caller()
         _, first = await answer(caller, call(repeatable=False))
-        _, again = await answer(caller, call(repeatable=False, again=True))
+        _, again = await answer(caller, call(repeatable=False, is_retry=True))
         assert isinstance(first, NotRun)
         assert isinstance(again, Unknown)
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -66,11 +66,11 @@
 
 def test_requests_wait_while_the_gate_is_closed_and_run_when_it_opens(slots):
     async def session():
-        slots.gate.open = False
+        slots.gate.accepting = False
         waiting = asyncio.create_task(slots.acquire(attempt("first")))
         await run_ready_tasks()
         assert not waiting.done()
-        slots.gate.open = True
+        slots.gate.accepting = True
         assert await waiting is None
 
     asyncio.run(session())
--- a/tests/test_status_watcher.py
+++ b/tests/test_status_watcher.py
@@ -92,14 +92,14 @@
     # Guards against requests that are sent to a VM being replaced until the entry's
     # next status query, which with many servers was more than a second later.
     monkeypatch.setattr(
-        "wasabideck_entry.status_watcher.poll_pause", lambda servers: 60.0
+        "wasabideck_entry.status_watcher.poll_interval", lambda servers: 60.0
     )
 
     async def body(agent, fleet):
         await wait_until(lambda: agent.report_count >= 2)
         agent.reply.leaving = True
         agent.service.notify_watchers()
-        await wait_until(lambda: not fleet.candidates("s", set()))
+        await wait_until(lambda: not fleet.eligible_servers("s", set()))
         return agent.report_count
 
     assert watched(body) == 3
@@ -110,7 +110,7 @@
     # the last report forever and send requests to a server that no longer exists.
     monkeypatch.setattr("wasabideck_entry.status_watcher.STATUS_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(
-        "wasabideck_entry.status_watcher.poll_pause", lambda servers: 0.05
+        "wasabideck_entry.status_watcher.poll_interval", lambda servers: 0.05
     )
 
     async def body(agent, fleet):
@@ -118,7 +118,7 @@
         fleet.channels.close()
         await wait_until(lambda: agent.service.watch_received)
         agent.reply.serving = False
-        await wait_until(lambda: not fleet.candidates("s", set()))
+        await wait_until(lambda: not fleet.eligible_servers("s", set()))
 
     watched(body)
 
@@ -155,7 +155,7 @@
         address = await replacement.start()
         fleet.update_members([Member("a", AGENT, address, service="s")])
         await wait_until(
-            lambda: replacement.report_count and fleet.candidates("s", set())
+            lambda: replacement.report_count and fleet.eligible_servers("s", set())
         )
         replacement.server.close()
 
@@ -166,7 +166,7 @@
     # An unexpected error ends a watch. Without a restart the server's last report
     # would be kept forever, such as "serving" for a server that no longer exists.
     monkeypatch.setattr(
-        "wasabideck_entry.status_watcher.poll_pause", lambda servers: 0.05
+        "wasabideck_entry.status_watcher.poll_interval", lambda servers: 0.05
     )
 
     async def body(agent, fleet):
@@ -182,7 +182,7 @@
         fleet.channels.close()
         await wait_until(lambda: not failures)
         agent.reply.serving = False
-        await wait_until(lambda: not fleet.candidates("s", set()))
+        await wait_until(lambda: not fleet.eligible_servers("s", set()))
 
     watched(body)
 
