--- a/packages/wasabideck_agent/wasabideck_agent/origin_chunks.py
+++ b/packages/wasabideck_agent/wasabideck_agent/origin_chunks.py
@@ -27,7 +27,7 @@
     origin: NumberedOrigin
     manifest: Manifest
 
-    async def chunk(self, digest: str, vm: str) -> bytes:
+    async def read_chunk(self, digest: str, vm: str) -> bytes:
         """Return the chunk of that digest; raise ``CorruptChunk`` on other bytes."""
         index = self.manifest.chunk_indices[digest][0]
         version = int(self.manifest.version)
--- a/tests/adapter/agent_fakes.py
+++ b/tests/adapter/agent_fakes.py
@@ -52,13 +52,13 @@
         self.reads, self.down, self.corrupt_chunks = [], False, set()
         self.missing_versions = set()
 
-    async def manifest(self, model, version):
+    async def read_manifest(self, model, version):
         if self.down or version in self.missing_versions:
             raise PlatformUnavailable("origin", "down", False)
         digests = tuple(digest(chunk_bytes(version, i)) for i in range(CHUNKS))
         return Manifest(model, str(version), 8, 8 * CHUNKS, digests)
 
-    async def piece(self, model, version, index):
+    async def chunk(self, model, version, index):
         self.reads.append((version, index))
         if self.down or version in self.missing_versions:
             raise PlatformUnavailable("origin", "down", False)
@@ -77,7 +77,7 @@
         self.state_calls = self.chunk_reads = 0
         self.waiting, self.running, self.refused, self.started_on = 0, 0, 0, []
 
-    async def state(self):
+    async def read_state(self):
         self.state_calls += 1
         if self.loading:
             self.polls_left -= 1
@@ -97,10 +97,10 @@
             started_at_ms=self.born,
         )
 
-    async def stage(self, model, index, data):
+    async def stage_chunk(self, model, index, data):
         self.chunks[index] = data
 
-    async def staged(self, model):
+    async def staged_chunks(self, model):
         return sorted(self.chunks)
 
     async def staged_chunk(self, model, index):
@@ -179,7 +179,7 @@
     links = Links(Link(), Link(), Link())
     deployment = SimpleNamespace(
         open_origin=lambda session, address: origin,
-        servers="servers",
+        servers_table="servers",
         parse_listed_server=lambda row: ListedServer(
             row.key, "s", f"{row.key}:1", "dc"
         ),
--- a/tests/adapter/test_agent.py
+++ b/tests/adapter/test_agent.py
@@ -39,17 +39,17 @@
 def test_a_corrupt_staged_chunk_is_repaired_before_the_order(agent, engine):
     # Guards against corrupt weights in service: a chunk becomes corrupt in the engine's
     # staging area, and the engine loads chunks without verification.
-    stage = engine.stage
+    stage = engine.stage_chunk
 
     async def stage_and_corrupt(model, index, data):
         await stage(model, index, data)
         if len(engine.chunks) == CHUNKS and not engine.orders:
-            engine.stage = stage
+            engine.stage_chunk = stage
             engine.chunks[3] = b"rotten!!"
 
-    engine.stage = stage_and_corrupt
+    engine.stage_chunk = stage_and_corrupt
     step_until(agent, holds(engine, 1))
-    assert engine.stage == stage, "the chunk never became corrupt"
+    assert engine.stage_chunk == stage, "the chunk never became corrupt"
     assert engine.chunks[3] == chunk_bytes(1, 3)
 
 
@@ -160,7 +160,7 @@
     # and the order, and a chunk becomes corrupt meanwhile. The verification must not
     # count for as long as the order takes.
     step_until(agent, holds(engine, 1))
-    read_state, paused = engine.state, []
+    read_state, paused = engine.read_state, []
     # Staged chunks are first checked for reuse, and verified again before the order.
     reads_before_order = engine.chunk_reads + 2 * CHUNKS
 
@@ -171,7 +171,7 @@
             engine.chunks[0] = b"spoilt!!"
         return await read_state()
 
-    engine.state = state_after_a_pause
+    engine.read_state = state_after_a_pause
     agent.process.state_sync.cluster_state.declare_version("m", 2, 0.0)
     step_until(agent, holds(engine, 2))
     assert paused
--- a/tests/adapter/test_manifests.py
+++ b/tests/adapter/test_manifests.py
@@ -28,8 +28,8 @@
 
     corrupt = True
 
-    async def manifest(self, model, version):
-        good = await super().manifest(model, version)
+    async def read_manifest(self, model, version):
+        good = await super().read_manifest(model, version)
         if not self.corrupt:
             return good
         return evolve(good, chunks=(digest(b"wrong"), *good.chunks[1:]))
@@ -38,7 +38,7 @@
 class BusyEngine(FakeEngine):
     """Stays empty and busy: its agent holds a manifest and chunks, but no order."""
 
-    async def state(self):
+    async def read_state(self):
         return EngineState((), True, started_at_ms=self.born)
 
 
@@ -197,7 +197,7 @@
 def test_a_malformed_manifest_of_a_peer_is_a_typed_failure(corrupted):
     # Bytes of a peer with another release, or bytes corrupted in transit, must neither
     # terminate the agent nor make it load another version's chunks.
-    manifest = asyncio.run(FakeOrigin().manifest("m", 1))
+    manifest = asyncio.run(FakeOrigin().read_manifest("m", 1))
     assert numbered_manifest_from_json(manifest_to_json(manifest), "m", 1) == manifest
     with pytest.raises(CorruptManifest):
         numbered_manifest_from_json(corrupted(manifest), "m", 1)
@@ -205,8 +205,8 @@
 
 def test_a_manifest_whose_chunks_are_all_held_outweighs_others():
     # A corrupt manifest lists a chunk that nobody has: who holds all chunks is right.
-    good = asyncio.run(FakeOrigin().manifest("m", 1))
-    bad = asyncio.run(CorruptOrigin().manifest("m", 1))
+    good = asyncio.run(FakeOrigin().read_manifest("m", 1))
+    bad = asyncio.run(CorruptOrigin().read_manifest("m", 1))
     words = [
         ManifestReport(bad),
         ManifestReport(bad),
@@ -257,9 +257,9 @@
         super().__init__()
         self.manifests_read = 0
 
-    async def manifest(self, model, version):
+    async def read_manifest(self, model, version):
         self.manifests_read += 1
-        return await super().manifest(model, version)
+        return await super().read_manifest(model, version)
 
 
 def manifests_of_all(agents):
--- a/tests/adapter/test_retirement.py
+++ b/tests/adapter/test_retirement.py
@@ -20,7 +20,9 @@
     """An agent on the event loop's time, beside an engine that holds version 1."""
     made = make_agent()
     cfg = made.process.cfg
-    made.process.cfg = evolve(cfg, limits=evolve(cfg.limits, version=WITHIN))
+    made.process.cfg = evolve(
+        cfg, limits=evolve(cfg.limits, version_deadline_seconds=WITHIN)
+    )
     engine.loaded = (LoadedLayers("m", 1, 0, 4),)
     return made
 
@@ -361,7 +363,7 @@
         async def down():
             raise PlatformUnavailable("engine", "down", False)
 
-        engine.state = down
+        engine.read_state = down
         began = now()
         await agent.retirement.drain(5.0)
         assert now() - began < 0.5
@@ -434,14 +436,14 @@
         assert await agent._fetch_and_stage(MODEL, manifest)
         agent._engine_start, agent._served_version = engine.born, 1
         engine.loading, engine.polls_left, engine.loaded = None, 0, ()
-        state, polls = engine.state, []
+        state, polls = engine.read_state, []
 
         async def draining():
             polls.append(1)
             found = await state()
             return evolve(found, order_in_progress=len(polls) < 6)
 
-        engine.state = draining
+        engine.read_state = draining
         await agent._swap(MODEL, manifest)
         assert engine.orders == [2]
 
--- a/tests/cluster_state/test_backends.py
+++ b/tests/cluster_state/test_backends.py
@@ -34,7 +34,7 @@
 
 
 def test_a_server_that_shuts_down_gets_no_more_requests(backends):
-    backends.take(listed("a", leaving=True))
+    backends.update(listed("a", leaving=True))
     assert "a" not in names(backends, 100.0)
 
 
@@ -45,13 +45,13 @@
     # requests would be refused.
     backends.outage_ended_at = 100.0
     backends.remove(["a", "bb"], 100.1)
-    backends.take(listed("bb"))
+    backends.update(listed("bb"))
     assert names(backends, 100.2) == {"a", "bb", "ccc", "dddd"}
     assert names(backends, 100.0 + RELISTING_SECONDS) == {"bb", "ccc", "dddd"}
 
 
 def test_a_server_that_was_shutting_down_is_not_kept(backends):
-    backends.take(listed("a", leaving=True))
+    backends.update(listed("a", leaving=True))
     backends.outage_ended_at = 100.0
     backends.remove(["a"], 100.1)
     assert backends.get("a") is None
@@ -75,17 +75,17 @@
 
 
 def test_a_restart_under_the_same_name_clears_the_state(backends):
-    old = backends.take(listed("a", born=1))
+    old = backends.update(listed("a", started_at_ms=1))
     old.versions["m"] = 3
-    new = backends.take(listed("a", born=2))
-    assert new.holds("m", 16, 100.0) == 0
+    new = backends.update(listed("a", started_at_ms=2))
+    assert new.loaded_version("m", 16, 100.0) == 0
 
 
 def test_listed_layers_count_only_if_complete(backends):
-    part = backends.take(listed("a", loaded=(LoadedLayers("m", 2, 0, 8),)))
-    assert part.holds("m", 16, 100.0) == 0
-    whole = backends.take(listed("a", loaded=(LoadedLayers("m", 2, 0, 16),)))
-    assert whole.holds("m", 16, 100.0) == 2
+    part = backends.update(listed("a", loaded=(LoadedLayers("m", 2, 0, 8),)))
+    assert part.loaded_version("m", 16, 100.0) == 0
+    whole = backends.update(listed("a", loaded=(LoadedLayers("m", 2, 0, 16),)))
+    assert whole.loaded_version("m", 16, 100.0) == 2
 
 
 def test_a_mass_removal_received_late_is_not_ignored_for_longer(backends):
@@ -134,10 +134,14 @@
     # A configuration of 300 KB saturates a link between regions for 1.5 seconds. The
     # first stream over that link was cancelled as if its server were at fault, and
     # ended.
-    assert servers_with_requests(0.71, 0.6, 0.5).way_silent("dc", 100.0)
-    assert not servers_with_requests(0.71, 0.05, 0.1).way_silent("dc", 100.0)
-    assert not servers_with_requests(0.71, 0.6, 0.5).way_silent("elsewhere", 100.0)
+    assert servers_with_requests(0.71, 0.6, 0.5).is_network_unresponsive("dc", 100.0)
+    assert not servers_with_requests(0.71, 0.05, 0.1).is_network_unresponsive(
+        "dc", 100.0
+    )
+    assert not servers_with_requests(0.71, 0.6, 0.5).is_network_unresponsive(
+        "elsewhere", 100.0
+    )
 
 
 def test_one_or_two_unresponsive_servers_are_no_network_fault():
-    assert not servers_with_requests(0.71, 0.8).way_silent("dc", 100.0)
+    assert not servers_with_requests(0.71, 0.8).is_network_unresponsive("dc", 100.0)
--- a/tests/cluster_state/test_cold_start.py
+++ b/tests/cluster_state/test_cold_start.py
@@ -91,7 +91,7 @@
 def least_version(state_sync, clock, at):
     clock[0] = at
     within = state_sync.cfg.limits.version_deadline_seconds - MARGIN
-    return state_sync.cluster_state.least_version("m", within, at)
+    return state_sync.cluster_state.min_version("m", within, at)
 
 
 def test_version_after_stale_first_read_is_not_new(clock):
--- a/tests/cluster_state/test_gossip.py
+++ b/tests/cluster_state/test_gossip.py
@@ -43,7 +43,7 @@
 
     def watch(self, loop):
         return TableWatch(
-            SimpleNamespace(received=lambda table: 0),
+            SimpleNamespace(received_bytes=lambda table: 0),
             "servers",
             self.rows.extend,
             lambda rows: None,
--- a/tests/cluster_state/test_in_time_share.py
+++ b/tests/cluster_state/test_in_time_share.py
@@ -15,7 +15,7 @@
 class AllAhead(InTimeShare):
     """Sends every request ahead, which amounts to first come, first served."""
 
-    def draw(self, rng):
+    def draw_sent_ahead(self, rng):
         return True
 
 
@@ -39,17 +39,17 @@
         _, arrivals, works = next(p for p in phases if now < p[0])
         if now == next_arrival:
             next_arrival += rng.expovariate(arrivals)
-            share.arrive(now)
+            share.record_arrival(now)
             # A slot is free, or soon will be: the request doesn't wait for others.
             idle = len(ahead) + len(behind) <= 1
-            (ahead if idle or share.draw(rng) else behind).append(now)
+            (ahead if idle or share.draw_sent_ahead(rng) else behind).append(now)
         if now == next_end:
             next_end += 1 / RATE
             queue = ahead or behind
             if queue and works:
                 arrived = queue.pop(0)
                 started.append((arrived, now - arrived))
-                share.end(now)
+                share.record_completion(now)
     return started
 
 
--- a/tests/cluster_state/test_placement.py
+++ b/tests/cluster_state/test_placement.py
@@ -94,7 +94,7 @@
     """An engine with one request, whose version was reported earlier."""
     backend = engine(name, load)
     backend.versions["m"] = 1
-    backend.begin(since)
+    backend.add_request(since)
     return backend
 
 
@@ -145,7 +145,7 @@
     other = engine("b", 14)
     other.apply_report(other.report, later)
     if sign == "byte":
-        responsive.heard_at = later - 0.1
+        responsive.last_received_at = later - 0.1
     elif sign == "news":
         responsive.apply_report(responsive.report, later - 0.1)
     found = choose_server([responsive, other], DEMAND, later, random.Random(1))
@@ -187,7 +187,7 @@
     # that the agent reports: a server with free slots would seem full forever.
     backend = engine("a", 3)
     for _ in range(6):
-        backend.begin(NOW)
+        backend.add_request(NOW)
     demand = Requirements("dc", "m", 16, entries=20)
     assert choose_server([backend], demand, NOW, random.Random(1)).backend is None
     backend.apply_report(EngineReport("a:1", 1, True, 8, 0), NOW + 0.25)
@@ -205,7 +205,7 @@
     backend.versions["m"] = 1
     later = NOW + 5.0
     for n in range(12):
-        backend.begin(later + n)
+        backend.add_request(later + n)
         backend.in_progress -= 1
         backend.apply_load(4, later + n)
     demand = Requirements("dc", "m", 16, entries=20)
@@ -219,7 +219,7 @@
     # The first engine to return after an outage was empty, and all entries sent to it:
     # it read 17 prompts one after the other, 50 ms each, before the first event of any.
     reading, writing = engine("reading", 4), engine("writing", 7)
-    reading.unread = {"a", "b", "c"}
+    reading.unread_prompts = {"a", "b", "c"}
     place = choose_server(
         [reading, writing], Requirements("dc", "m", 16), NOW, random.Random(1)
     )
@@ -267,7 +267,7 @@
     # eleven requests of the other entries, and made the server seem full to this one.
     servers = [engine(f"s-{n}", 2, slots=8) for n in range(136)]
     for server in servers:
-        server.begin(NOW)
+        server.add_request(NOW)
     found = place(servers, Requirements("dc", "m", 16, entries=36))
     assert found.has_free_slot
     assert found.urgency == Urgency.IN_TIME
@@ -279,7 +279,7 @@
     servers = [engine("open", 4, slots=8), *full]
     demand, sent = Requirements("dc", "m", 16, entries=36), 0
     while (found := place(servers, demand)).backend is not None and sent < 50:
-        found.backend.begin(NOW)
+        found.backend.add_request(NOW)
         sent += 1
     assert sent == 1
 
--- a/tests/cluster_state/test_reader_selection.py
+++ b/tests/cluster_state/test_reader_selection.py
@@ -69,9 +69,9 @@
 
 def test_a_confirmation_expires_after_a_short_time(follower):
     # Otherwise the followers of suspended readers would not query the store.
-    follower.follows(RANKED[0], NOW)
-    assert follower.covered(NOW + CONFIRMATION_VALID_SECONDS - 0.01)
-    assert not follower.covered(NOW + CONFIRMATION_VALID_SECONDS + 0.01)
+    follower.record_follows(RANKED[0], NOW)
+    assert follower.has_valid_confirmation(NOW + CONFIRMATION_VALID_SECONDS - 0.01)
+    assert not follower.has_valid_confirmation(NOW + CONFIRMATION_VALID_SECONDS + 0.01)
     assert follower.last_confirmed_at == NOW
 
 
@@ -79,16 +79,16 @@
 def test_one_valid_confirmation_is_enough(follower, lost):
     # Otherwise all followers would read for themselves once the store refuses a single
     # reader.
-    follower.follows(RANKED[0], NOW)
-    follower.follows(RANKED[1], NOW)
+    follower.record_follows(RANKED[0], NOW)
+    follower.record_follows(RANKED[1], NOW)
     lose = {
         "refuses": follower.record_not_following,
         "silent": lambda vm: follower.record_unresponsive(vm, NOW),
     }
     lose[lost](RANKED[0])
-    assert follower.covered(NOW)
+    assert follower.has_valid_confirmation(NOW)
     lose[lost](RANKED[1])
-    assert not follower.covered(NOW)
+    assert not follower.has_valid_confirmation(NOW)
 
 
 def test_each_follower_is_notified_by_one_reader(members):
--- a/tests/cluster_state/test_region_readers.py
+++ b/tests/cluster_state/test_region_readers.py
@@ -341,10 +341,10 @@
         await asyncio.sleep(2.5 * region_readers.POLL_INTERVAL_SECONDS)
         now = asyncio.get_running_loop().time()
         follower.cluster_state._versions["m"][-1].declaration_time_known = False
-        follower.cluster_state._versions["m"][-1].since = now - 7.0
+        follower.cluster_state._versions["m"][-1].allowed_from = now - 7.0
         follower.operator_watch._needs_full_read = True
         await follower.operator_watch.step()
-        assert follower.cluster_state._versions["m"][-1].since == now - 7.0
+        assert follower.cluster_state._versions["m"][-1].allowed_from == now - 7.0
 
     region(scenario)
 
@@ -357,7 +357,7 @@
         assert not follower._is_cut_off()
         await asyncio.sleep(1.3)
         now = asyncio.get_running_loop().time()
-        assert now - follower.cluster_state.heard_at < 1.5
+        assert now - follower.cluster_state.last_contact_at < 1.5
 
     region(scenario)
 
--- a/tests/cluster_state/test_retry_limit.py
+++ b/tests/cluster_state/test_retry_limit.py
@@ -22,7 +22,7 @@
     for entry, is_retry, pause in steps:
         now += pause
         if not is_retry:
-            shares[entry].request(now)
+            shares[entry].record_request(now)
             requests.append(now)
         elif shares[entry].try_spend(now, ENTRIES):
             retries.append(now)
--- a/tests/cluster_state/test_state_sync.py
+++ b/tests/cluster_state/test_state_sync.py
@@ -66,7 +66,7 @@
 
 def least_version(state_sync, clock):
     within = state_sync.cfg.limits.version_deadline_seconds - MARGIN
-    return state_sync.cluster_state.least_version("m", within, clock[0])
+    return state_sync.cluster_state.min_version("m", within, clock[0])
 
 
 def test_version_declared_while_running_takes_effect_after_full_time(state_sync, clock):
--- a/tests/cluster_state/test_unknown_declaration_times.py
+++ b/tests/cluster_state/test_unknown_declaration_times.py
@@ -56,7 +56,7 @@
     process = new_process(kind, clock)
     receive_gossip(process, declaration(3))
     assert run_lookup(process, clock) == 1
-    assert not process.cluster_state.undated("m")
+    assert not process.cluster_state.declaration_time_unknown("m")
 
 
 def test_time_of_version_in_first_read_is_looked_up(clock):
@@ -64,7 +64,7 @@
     entry = new_process(ENTRY, clock)
     store_answers(entry, clock, (35.05, 35.1, RowChanges((row(9, 3),), 9)))
     assert run_lookup(entry, clock) == 1
-    assert not entry.cluster_state.undated("m")
+    assert not entry.cluster_state.declaration_time_unknown("m")
 
 
 def test_time_of_version_read_by_agent_is_looked_up(clock):
@@ -76,4 +76,4 @@
 
     asyncio.run(read())
     assert run_lookup(agent, clock) == 1
-    assert not agent.cluster_state.undated("m")
+    assert not agent.cluster_state.declaration_time_unknown("m")
--- a/tests/cluster_state/test_version_ages.py
+++ b/tests/cluster_state/test_version_ages.py
@@ -34,7 +34,7 @@
         follower.operator_watch.adopt_position(position, 5, clock[0])
     follower.readers._covered = True
     store_answers(reader, clock, (35.1, 35.2, RowChanges((row(9, 3),), 9)))
-    assert reader.cluster_state.undated("m")
+    assert reader.cluster_state.declaration_time_unknown("m")
     receive_gossip(follower, declaration(3))
     assert least_version(follower, clock, 37.9) == 3
 
@@ -54,7 +54,7 @@
     monkeypatch.setattr(Gossip, "_sync", call)
     monkeypatch.setattr(Gossip, "_choose_peer", lambda self, now: "10.0.0.9:1")
     asyncio.run(agent.gossip.sync_with_one())
-    assert agent.cluster_state.newest("m").since <= 35.0 - 7.0
+    assert agent.cluster_state.newest("m").allowed_from <= 35.0 - 7.0
 
 
 def test_newer_time_is_published_after_older_one_is_found():
@@ -77,7 +77,7 @@
     started = Process(store, clock)
     started.record_unknown_time(3)
     started.run(0.3)
-    assert not started.cluster_state.undated("m")
+    assert not started.cluster_state.declaration_time_unknown("m")
 
 
 def test_slow_read_of_publisher_does_not_reduce_age():
@@ -100,7 +100,7 @@
     started = Process(store, clock)
     started.record_unknown_time(2)
     started.run()
-    assert started.cluster_state.newest("m").since <= declared_at
+    assert started.cluster_state.newest("m").allowed_from <= declared_at
 
 
 def test_published_time_in_the_future_is_ignored():
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -119,7 +119,7 @@
                 "announce_ready",
                 "dict",
                 "emit",
-                "_note",
+                "_log_end",
             ):
                 found.update(k.arg for k in node.keywords if k.arg)
     return found
--- a/tests/tickets/test_acceptance.py
+++ b/tests/tickets/test_acceptance.py
@@ -21,8 +21,8 @@
 def test_ticket_submitted_twice_is_accepted_once(accept, make_ticket):
     first = accept(make_ticket(5, "a"))
     again = accept(make_ticket(5, "a"), "operator-2")
-    assert (first.sequence, first.again) == (1, False)
-    assert (again.sequence, again.again) == (1, True)
+    assert (first.sequence, first.already_accepted) == (1, False)
+    assert (again.sequence, again.already_accepted) == (1, True)
     assert again.ticket.operator == "operator-1"
 
 
@@ -45,7 +45,7 @@
     must find it, so that the operator need not submit it again."""
     table.faults.append("lose")
     accepted = accept(make_ticket(1, "a"))
-    assert (accepted.sequence, accepted.again) == (1, False)
+    assert (accepted.sequence, accepted.already_accepted) == (1, False)
 
 
 def test_delayed_write_cannot_revert_a_newer_ticket(table, accept, make_ticket):
@@ -104,7 +104,7 @@
     table.faults.extend(["lose", "down"])
     with pytest.raises(TicketUnknown):
         accept(make_ticket(1, "a"))
-    assert accept(make_ticket(1, "a")).again
+    assert accept(make_ticket(1, "a")).already_accepted
 
 
 def test_stale_reads_do_not_override_a_newer_ticket(table, accept, make_ticket):
--- a/tests/tickets/test_orders.py
+++ b/tests/tickets/test_orders.py
@@ -156,7 +156,7 @@
     held: asyncio.Event | None = None
     waiting: bool = False
 
-    async def loaded(self):
+    async def read_state(self):
         self.session.pass_time(0.0)
         return self.loaded_now
 
@@ -182,7 +182,7 @@
 
 @define
 class Gate:
-    open: bool = False
+    accepting: bool = False
 
 
 @define
@@ -219,7 +219,7 @@
         self.note(f"agent: {kind} {fields.get('ticket', fields.get('fence', ''))}")
 
     def note(self, line):
-        gate = "open" if self.runner.gate.open else "closed"
+        gate = "open" if self.runner.gate.accepting else "closed"
         self.log.append(f"{self.now:7.1f} {line} [gate {gate}]")
 
     async def sleep(self, seconds):
@@ -318,4 +318,4 @@
 
     asyncio.run(run())
     assert session.engine.loaded_now.fence == 5
-    assert not session.runner.gate.open
+    assert not session.runner.gate.accepting
--- a/tests/tickets/test_reconcile.py
+++ b/tests/tickets/test_reconcile.py
@@ -40,7 +40,7 @@
         pass
 
     @property
-    def ticket(self):
+    def ticket_in_force(self):
         return self
 
     async def read_back(self):
@@ -77,10 +77,10 @@
 
         return Transfer()
 
-    async def staged(self, digest):
+    async def staged_chunks(self, digest):
         return set()
 
-    async def stage(self, digest, index, data):
+    async def stage_chunk(self, digest, index, data):
         pass
 
     async def wait_until(self, condition):
--- a/tests/weights/test_chunk_http.py
+++ b/tests/weights/test_chunk_http.py
@@ -162,7 +162,7 @@
 
 
 class NoOrigin:
-    async def chunk(self, digest, vm):
+    async def read_chunk(self, digest, vm):
         raise PlatformUnavailable("origin", "down", False)
 
 
@@ -199,4 +199,4 @@
                 await asyncio.gather(*(transfer.run() for transfer in transfers))
 
     asyncio.run(run())
-    assert all(store.whole(MANIFEST) for store in stores.values())
+    assert all(store.is_complete(MANIFEST) for store in stores.values())
--- a/tests/weights/test_failures.py
+++ b/tests/weights/test_failures.py
@@ -90,7 +90,7 @@
         store=base.store,
     )
     adapter.run(9.0)
-    assert adapter.store.whole(adapter.manifest)
+    assert adapter.store.is_complete(adapter.manifest)
     assert [line.split()[1:] for line in adapter.log if "fetch" in line] == [
         ["fetch", str(len(TEXTS)), "b"]
     ]
--- a/tests/weights/test_fetch_window.py
+++ b/tests/weights/test_fetch_window.py
@@ -8,7 +8,7 @@
 def queueing_delay(window, slowdown, fetches=30):
     """Return the delay in seconds of a message on a slowed link, after some fetches."""
     for _ in range(fetches):
-        window.took(window.limit * SLOT_SECONDS * slowdown)
+        window.record_duration(window.limit * SLOT_SECONDS * slowdown)
     return window.limit * SLOT_SECONDS * slowdown
 
 
--- a/tests/weights/test_sessions.py
+++ b/tests/weights/test_sessions.py
@@ -52,8 +52,8 @@
     already_held = second.view.held
     second.run(5.0)
     first.store.keep_manifests({second.manifest.digest})
-    assert second.store.whole(second.manifest)
-    assert not first.store.whole(first.manifest)
+    assert second.store.is_complete(second.manifest)
+    assert not first.store.is_complete(first.manifest)
     fetched = [line for line in second.log if "fetch" in line]
     assert len(fetched) == len(later) - already_held.bit_count()
     data_regression.check({"first": first.log, "second": second.log})
--- a/tests/weights/test_transfer.py
+++ b/tests/weights/test_transfer.py
@@ -34,12 +34,12 @@
     down: bool = False
     reads: list[str] = field(factory=list)
 
-    async def chunk(self, digest, vm):
+    async def read_chunk(self, digest, vm):
         self._check()
         self.reads.append(digest)
         return TEXTS[MANIFEST.chunks.index(digest)].encode()
 
-    async def manifest(self, digest):
+    async def read_manifest(self, digest):
         self._check()
         return MANIFEST
 
@@ -52,7 +52,7 @@
 class StalledOrigin(FakeOrigin):
     """An origin whose reads never end."""
 
-    async def chunk(self, digest, vm):
+    async def read_chunk(self, digest, vm):
         self.reads.append(digest)
         await asyncio.Event().wait()
 
@@ -139,7 +139,7 @@
             return transfer
 
     transfer = asyncio.run(body())
-    assert transfer.store.whole(MANIFEST)
+    assert transfer.store.is_complete(MANIFEST)
     assert set(transfer.sources) == {"good"}
 
 
@@ -151,7 +151,7 @@
             channels = Channels(events.clock)
             transfer = transfer_from([half], origin, events, channels)
             running = asyncio.create_task(transfer.run())
-            while transfer.store.held(MANIFEST).bit_count() < 3:
+            while transfer.store.held_chunks(MANIFEST).bit_count() < 3:
                 await asyncio.sleep(0)
             running.cancel()
             await asyncio.wait({running})
@@ -161,7 +161,7 @@
             return transfer, names
 
     transfer, names = asyncio.run(body())
-    assert not transfer.store.whole(MANIFEST)
+    assert not transfer.store.is_complete(MANIFEST)
     assert not any("Transfer" in name for name in names)
     assert transfer.service.listeners == {}
 
@@ -219,13 +219,13 @@
             while not origin.reads:
                 await asyncio.sleep(0)
             for digest, text in zip(MANIFEST.chunks, TEXTS, strict=True):
-                store.add(digest, text.encode(), "")
+                store.add_chunk(digest, text.encode(), "")
             await asyncio.wait_for(running, 20)
             channels.close()
             return transfer
 
     transfer = asyncio.run(body())
-    assert transfer.store.whole(MANIFEST)
+    assert transfer.store.is_complete(MANIFEST)
     assert set(transfer.sources) == {"b"}
 
 
@@ -238,7 +238,7 @@
             transfer.cfg = WeightsSettings(call_seconds=0.3)
             running = asyncio.create_task(transfer.run())
             async with asyncio.timeout(10):
-                while transfer.store.held(MANIFEST).bit_count() < 3:
+                while transfer.store.held_chunks(MANIFEST).bit_count() < 3:
                     await asyncio.sleep(0.01)
             running.cancel()
             await asyncio.wait({running})
