--- a/packages/wasabideck_entry/wasabideck_entry/authentication.py
+++ b/packages/wasabideck_entry/wasabideck_entry/authentication.py
@@ -40,9 +40,9 @@
 
     status = 403
 
-    def __init__(self, named: str):
+    def __init__(self, requested: str):
         super().__init__(
-            f"the credential does not belong to organisation {named[:100]!r}"
+            f"the credential does not belong to organisation {requested[:100]!r}"
         )
 
 
@@ -68,9 +68,9 @@
     if not path.startswith(CALLER_PATH_PREFIX):
         return operator_name_of(header, cfg.operators)
     organisation = organisation_of(header, cfg.callers)
-    named = headers.get(ORGANISATION_HEADER, organisation)
-    if named != organisation:
-        raise OtherOrganisation(named)
+    requested = headers.get(ORGANISATION_HEADER, organisation)
+    if requested != organisation:
+        raise OtherOrganisation(requested)
     return organisation
 
 
--- a/packages/wasabideck_forward/wasabideck_forward/attempts.py
+++ b/packages/wasabideck_forward/wasabideck_forward/attempts.py
@@ -44,21 +44,21 @@
     """Starts attempts and ends them."""
 
     pool: ServerPool
-    wire: HeadCodec
-    dispatch: Dispatcher
+    head_codec: HeadCodec
+    dispatcher: Dispatcher
     in_flight: InFlightRequests = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Start with no requests in flight."""
-        self.in_flight = InFlightRequests(self._beliefs)
+        self.in_flight = InFlightRequests(self._cluster_state)
 
     @property
-    def _beliefs(self) -> ClusterState:
-        return self.dispatch.cluster_state
+    def _cluster_state(self) -> ClusterState:
+        return self.dispatcher.cluster_state
 
     @property
     def _clock(self) -> Callable[[], float]:
-        return self.dispatch.clock
+        return self.dispatcher.clock
 
     async def start(self, exchange: Exchange, backend: Backend) -> Attempt:
         """Send a request to a server; raises ``Unreachable``."""
@@ -67,13 +67,13 @@
         backend.unread_prompts.add(exchange)
         conn = None
         try:
-            connect_timeout = self.dispatch.connect_timeout(exchange, backend)
+            connect_timeout = self.dispatcher.connect_timeout(exchange, backend)
             conn = await self.pool.acquire(
                 backend, exchange.route.idempotent, connect_timeout
             )
             # Connecting takes up to 0.3 s, and the server may start to drain or be
             # removed meanwhile: a request would reach it too late.
-            if not self._beliefs.backends.accepts_requests(
+            if not self._cluster_state.backends.accepts_requests(
                 backend.server, self._clock()
             ):
                 raise Unreachable(backend.server, "draining or removed meanwhile")
@@ -99,7 +99,7 @@
         response = ServerResponse(
             exchange.req.head.request_id, exchange.req.method == b"HEAD"
         )
-        may_resume_elsewhere = partial(self.dispatch.may_resume_elsewhere, exchange)
+        may_resume_elsewhere = partial(self.dispatcher.may_resume_elsewhere, exchange)
         in_flight_request = exchange.engine and InFlightRequest(
             response, backend, exchange.engine, may_resume_elsewhere
         )
@@ -122,9 +122,9 @@
             time_left = max(0.001, exchange.caller_deadline - now - TRANSIT_SECONDS)
         # Servers compare this version with the one they hold, which may be newer than
         # the lowest one allowed.
-        min_version = self.dispatch.min_version(exchange, now)
+        min_version = self.dispatcher.min_version(exchange, now)
         version = max(min_version, exchange.weights_version) if min_version else 0
-        sending = RequestParameters(
+        parameters = RequestParameters(
             server=backend.server,
             seconds_left=time_left,
             organisation=exchange.organisation,
@@ -133,15 +133,20 @@
             version=version,
             priority=exchange.urgency,
         )
-        return self.wire.format_request_head(exchange.req, sending) + exchange.req.body
+        return (
+            self.head_codec.format_request_head(exchange.req, parameters)
+            + exchange.req.body
+        )
 
     def _record_weights(self, exchange: Exchange, backend: Backend) -> None:
         """Record for the log which weights the server was known to hold at sending."""
         if exchange.engine is None:
             return
         model, now = exchange.engine.model, self._clock()
-        held_version = backend.loaded_version(model, exchange.engine.layers, now)
-        max_age_seconds = self.dispatch.limits.max_send_age_seconds
-        over_at = self._beliefs.expires_at(model, held_version, max_age_seconds)
-        exchange.weights_version = held_version
-        exchange.weights_expire_in = None if over_at is None else over_at - now
+        loaded_version = backend.loaded_version(model, exchange.engine.layers, now)
+        max_age_seconds = self.dispatcher.limits.max_send_age_seconds
+        expires_at = self._cluster_state.expires_at(
+            model, loaded_version, max_age_seconds
+        )
+        exchange.weights_version = loaded_version
+        exchange.weights_expire_in = None if expires_at is None else expires_at - now
--- a/packages/wasabideck_forward/wasabideck_forward/caller_connection.py
+++ b/packages/wasabideck_forward/wasabideck_forward/caller_connection.py
@@ -19,7 +19,7 @@
 
 # Pipelined requests that may wait on a connection before reading from it is paused.
 MAX_PIPELINED_REQUESTS = 4
-# Added to the idle timeout that callers are told, so that a request sent at the last
+# Added to the idle timeout announced to callers, so that a request sent at the last
 # moment does not cross the close of the connection.
 IDLE_GRACE_SECONDS = 1.0
 _BODYLESS_STATUSES = frozenset((204, 304))
@@ -42,7 +42,7 @@
         Callers that connected while this process was starting.
     """
 
-    wire: HeadCodec
+    head_codec: HeadCodec
     clock: Callable[[], float]
     limits: Callable[[], CallerLimits]
     serve: Callable[[CallerRequest, CallerConnection], object]
@@ -191,7 +191,7 @@
             method=self._parser.get_method(),
             target=self._target,
             headers=self._headers,
-            head=self._endpoint.wire.parse_request_head(self._headers),
+            head=self._endpoint.head_codec.parse_request_head(self._headers),
             arrived_at=self._arrival_time(),
             keep_alive=self._parser.should_keep_alive(),
             http10=self._parser.get_http_version() == "1.0",
--- a/packages/wasabideck_forward/wasabideck_forward/delivery.py
+++ b/packages/wasabideck_forward/wasabideck_forward/delivery.py
@@ -15,7 +15,7 @@
 from .caller_connection import CallerConnection
 from .event_stream import Event, EventSplitter, EventTooLong
 from .exchange import DeliveryProgress, Exchange
-from .hedging import wait_ignoring_leave
+from .hedging import wait_ignoring_failover
 from .http_heads import ResponseHead, end_to_end_headers, first_header
 from .server_connection import AnswerBroken, FailoverRequested, ServerResponse
 
@@ -272,7 +272,7 @@
     awaiting_first: bool,
 ) -> bytes:
     if not exchange.may_use_another_server:
-        return await wait_ignoring_leave(response.read)
+        return await wait_ignoring_failover(response.read)
     timeout = FIRST_EVENT_HEDGE_SECONDS if awaiting_first else NEXT_EVENT_HEDGE_SECONDS
     return await _wait_with_hedge(
         response.read, monitor, timeout, since_last_byte=not awaiting_first
--- a/packages/wasabideck_forward/wasabideck_forward/dispatcher.py
+++ b/packages/wasabideck_forward/wasabideck_forward/dispatcher.py
@@ -55,17 +55,18 @@
 # Share of the maximum caller wait that a late request spends waiting to be sent; the
 # rest is left to the server.
 LATE_WAIT_RATIO = 0.6
-# Callers wait for a stream's next event for a multiple of the stream's longest pause or
-# of its goal, whichever is longer, and for no less than the minimum.
-CALLER_WAIT_PAUSES = 8
-CALLER_WAIT_GOALS = 4
+# Callers wait for a stream's next event for a multiple of the maximum interval between
+# its events or of its target time, whichever is longer, and for no less than the
+# minimum.
+CALLER_WAIT_INTERVALS = 8
+CALLER_WAIT_TARGETS = 4
 MIN_CALLER_WAIT_SECONDS = 2.0
 # A request whose remaining time is below this share of the longest one seen on its
 # route is taken for a retry. Those of first tries differ by up to a seventh.
 FIRST_TRY_MIN_RATIO = 0.8
 # Part of the time limit of a waiting request that is reserved for the server's work.
 RESERVED_WORK_SECONDS = 1.0
-# A request that has not been sent this long before its goal can't meet the goal: the
+# A request that has not been sent this long before its target time can't meet it: the
 # first event takes one pass of the engine's batch and the reading of the prompt.
 MIN_FIRST_EVENT_SECONDS = 0.12
 # Connect timeout for a request that may have to be recalled before the server starts
@@ -110,7 +111,7 @@
 
     Attributes
     ----------
-    outliers : Outliers
+    outliers : OutlierEjection
         Failing servers, which are left out for a while.
     idle_servers : callable
         Returns the names of the servers with an idle connection.
@@ -137,9 +138,9 @@
             self._change_event.set()
             self._change_event = asyncio.Event()
 
-    def set_limits(self, bounds: DispatchLimits) -> None:
+    def set_limits(self, limits: DispatchLimits) -> None:
         """Replace the limits, and reset the retry budgets."""
-        self.limits = bounds
+        self.limits = limits
         self._retry_limits.clear()
 
     def admit(self, req: CallerRequest, now: float) -> Exchange:
@@ -204,11 +205,13 @@
         started = self.clock()
         while True:
             now = self.clock()
-            place = self._choose(exchange, now)
-            if place.backend is not None and self._may_send_now(exchange, place, now):
-                exchange.urgency = place.urgency if exchange.engine else None
-                return place.backend
-            if place.backend is not None:
+            placement = self._choose(exchange, now)
+            if placement.backend is not None and self._may_send_now(
+                exchange, placement, now
+            ):
+                exchange.urgency = placement.urgency if exchange.engine else None
+                return placement.backend
+            if placement.backend is not None:
                 time_left = (
                     started + LATE_WAIT_RATIO * max_caller_wait(exchange.route) - now
                 )
@@ -219,14 +222,14 @@
                 exchange.waited = True
                 await asyncio.sleep(LATE_POLL_INTERVAL_SECONDS)
                 continue
-            available_in = place.ready_in
+            available_in = placement.ready_in
             limit = min(
                 started + MAX_SERVER_WAIT_SECONDS,
                 exchange.expires_at - RESERVED_WORK_SECONDS,
             )
             available_soon = available_in is not None and now + available_in <= limit
-            if place.all_full or not available_soon:
-                raise self._refusal(exchange, place)
+            if placement.all_full or not available_soon:
+                raise self._refusal(exchange, placement)
             exchange.waited = True
             await self._wait_for_change(available_in)
 
@@ -240,35 +243,37 @@
         finally:
             self._waiter_count -= 1
 
-    def _may_send_now(self, exchange: Exchange, place: Placement, now: float) -> bool:
+    def _may_send_now(
+        self, exchange: Exchange, placement: Placement, now: float
+    ) -> bool:
         """Whether a request may be sent now; the number of late ones is limited."""
-        if exchange.engine is None or place.urgency != Urgency.LATE:
+        if exchange.engine is None or placement.urgency != Urgency.LATE:
             return True
         servers = self.cluster_state.backends.in_service(exchange.service, now)
         entries = self.cluster_state.entries
-        if not place.has_free_slot or not self._late_limiter.may_send(
+        if not placement.has_free_slot or not self._late_limiter.may_send(
             len(servers), entries
         ):
             return False
         self._late_limiter.record_sent(exchange, now)
         return True
 
-    def _refusal(self, exchange: Exchange, place: Placement) -> Refusal:
+    def _refusal(self, exchange: Exchange, placement: Placement) -> Refusal:
         if exchange.outcome_uncertain:
             return OutcomeUnknown("no other server")
-        if place.all_full:
+        if placement.all_full:
             return AllFull(exchange.service)
-        return NoServer(exchange.service, place.ready_in)
+        return NoServer(exchange.service, placement.ready_in)
 
     def _choose(self, exchange: Exchange, now: float) -> Placement:
-        demand = self._demand(exchange, now)
+        requirements = self._requirements(exchange, now)
         # Servers that were tried or that are left out can only be excluded from the
         # full list, so the choice among local servers is skipped for them.
         unrestricted = not exchange.tried_servers and not self.outliers.any_ejected(now)
-        if unrestricted and demand.model:
-            place = self._choose_local(exchange.service, demand, now)
-            if place is not None:
-                return place
+        if unrestricted and requirements.model:
+            placement = self._choose_local(exchange.service, requirements, now)
+            if placement is not None:
+                return placement
         candidates = self.cluster_state.backends.in_service(exchange.service, now)
         if not unrestricted:
             healthy = self.outliers.healthy((b.server for b in candidates), now)
@@ -277,10 +282,10 @@
                 for b in candidates
                 if b.server in healthy and b.server not in exchange.tried_servers
             ]
-        return choose_server(candidates, demand, now, self.rng)
+        return choose_server(candidates, requirements, now, self.rng)
 
     def _choose_local(
-        self, service: str, demand: Requirements, now: float
+        self, service: str, requirements: Requirements, now: float
     ) -> Placement | None:
         local = self.cluster_state.backends.in_data_centre(
             service, self.data_centre, now
@@ -289,16 +294,18 @@
             return None
         idle = self.idle_servers()
         connected = [b for b in local if b.server in idle] if idle else []
-        return choose_local_server(local, connected, demand, now, self.rng)
+        return choose_local_server(local, connected, requirements, now, self.rng)
 
-    def _demand(self, exchange: Exchange, now: float) -> Requirements:
+    def _requirements(self, exchange: Exchange, now: float) -> Requirements:
         if exchange.engine is None:
             return Requirements(self.data_centre)
         model = exchange.engine.model
-        cluster_state, bounds = self.cluster_state, self.limits
-        goal = exchange.route.target_seconds
+        cluster_state, limits = self.cluster_state, self.limits
+        target_seconds = exchange.route.target_seconds
         latest_send = (
-            exchange.req.arrived_at + goal - min(MIN_FIRST_EVENT_SECONDS, goal / 2)
+            exchange.req.arrived_at
+            + target_seconds
+            - min(MIN_FIRST_EVENT_SECONDS, target_seconds / 2)
         )
         # A caller with part of a stream disconnects when it pauses for 2 s or more, and
         # everything written for it is lost. At a loaded engine, the rest of the stream
@@ -308,9 +315,9 @@
             self.data_centre,
             model,
             exchange.engine.layers,
-            cluster_state.min_version(model, bounds.max_send_age_seconds, now),
-            cluster_state.min_version(model, bounds.max_full_age_seconds, now),
-            cluster_state.min_version(model, bounds.max_queue_age_seconds, now),
+            cluster_state.min_version(model, limits.max_send_age_seconds, now),
+            cluster_state.min_version(model, limits.max_full_age_seconds, now),
+            cluster_state.min_version(model, limits.max_queue_age_seconds, now),
             late=exchange.is_caller_retry or now > latest_send,
             started=has_started,
             sent_ahead=exchange.prioritised,
@@ -355,20 +362,20 @@
         if exchange.engine is None:
             return None
         model, now = exchange.engine.model, self.clock()
-        held_version = backend.loaded_version(model, exchange.engine.layers, now)
+        loaded_version = backend.loaded_version(model, exchange.engine.layers, now)
         required = self.cluster_state.min_version(
             model, self.limits.max_queue_age_seconds, now
         )
-        return RECALLABLE_CONNECT_SECONDS if held_version < required else None
+        return RECALLABLE_CONNECT_SECONDS if loaded_version < required else None
 
     def min_version(self, exchange: Exchange, now: float) -> int:
         """Return the lowest version of the weights that may start it; 0 for any."""
-        return self._demand(exchange, now).min_version
+        return self._requirements(exchange, now).min_version
 
     def _is_caller_retry(self, exchange: Exchange) -> bool:
         """Whether the request is a caller's retry, by the time that it has left.
 
-        Its goal has passed already, although the request has only just arrived.
+        Its target time has passed already, although the request has only just arrived.
         """
         time_left = exchange.req.head.wait_seconds
         if not time_left:
@@ -384,9 +391,9 @@
 
     def _retry_limit(self, service: str) -> RetryLimit:
         if service not in self._retry_limits:
-            bounds = self.limits
+            limits = self.limits
             self._retry_limits[service] = RetryLimit(
-                bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
+                limits.retry_ratio, limits.retry_slack, limits.retry_window
             )
         return self._retry_limits[service]
 
@@ -394,7 +401,7 @@
 def max_caller_wait(route: Route) -> float:
     """Return the seconds after which callers disconnect from a stream without data."""
     wait = max(
-        CALLER_WAIT_PAUSES * route.max_event_interval_seconds,
-        CALLER_WAIT_GOALS * route.target_seconds,
+        CALLER_WAIT_INTERVALS * route.max_event_interval_seconds,
+        CALLER_WAIT_TARGETS * route.target_seconds,
     )
     return max(wait, MIN_CALLER_WAIT_SECONDS)
--- a/packages/wasabideck_forward/wasabideck_forward/entry_process.py
+++ b/packages/wasabideck_forward/wasabideck_forward/entry_process.py
@@ -58,7 +58,7 @@
     deployment: DeploymentAdapter,
     listener: EarlyListener | None = None,
 ) -> None:
-    """Run an entry until it is told to stop and has answered all requests it had read.
+    """Run an entry until it is stopped and has answered all requests it had read.
 
     Parameters
     ----------
@@ -147,18 +147,20 @@
 def _assemble(process: VMProcess, deployment: DeploymentAdapter) -> _Entry:
     cfg, cluster_state = process.cfg, process.state_sync.cluster_state
     quarantine = process.state_sync.gossip.quarantine
-    dispatch = Dispatcher(
+    dispatcher = Dispatcher(
         cluster_state,
-        _bounds(cfg),
+        _dispatch_limits(cfg),
         cfg.data_centre,
         process.clock,
         process.rng,
         CrashDetector(quarantine, process.events, process.events.wall),
     )
     pool = ServerPool(deployment.head_codec, process.clock)
-    dispatch.idle_servers = pool.idle_servers
-    forwarder = Forwarder(pool, deployment.head_codec, process.events, dispatch)
-    process.reload_listeners.append(lambda cfg: dispatch.set_limits(_bounds(cfg)))
+    dispatcher.idle_servers = pool.idle_servers
+    forwarder = Forwarder(pool, deployment.head_codec, process.events, dispatcher)
+    process.reload_listeners.append(
+        lambda cfg: dispatcher.set_limits(_dispatch_limits(cfg))
+    )
 
     def current_limits() -> CallerLimits:
         configuration = cluster_state.configuration
@@ -178,7 +180,7 @@
     return _Entry(process, callers, readiness, forwarder)
 
 
-def _bounds(cfg: VMSettings) -> DispatchLimits:
+def _dispatch_limits(cfg: VMSettings) -> DispatchLimits:
     return DispatchLimits(
         cfg.limits.retry_ratio,
         cfg.limits.shared_retry_allowance,
--- a/packages/wasabideck_forward/wasabideck_forward/forwarder.py
+++ b/packages/wasabideck_forward/wasabideck_forward/forwarder.py
@@ -70,7 +70,7 @@
     """Serves requests by sending them directly to backend servers."""
 
     pool: ServerPool
-    wire: HeadCodec
+    head_codec: HeadCodec
     events: Events
     dispatcher: Dispatcher
     in_progress: int = 0
@@ -78,7 +78,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Start with no attempts."""
-        self.attempts = Attempts(self.pool, self.wire, self.dispatcher)
+        self.attempts = Attempts(self.pool, self.head_codec, self.dispatcher)
 
     @property
     def cluster_state(self) -> ClusterState:
--- a/packages/wasabideck_forward/wasabideck_forward/hedging.py
+++ b/packages/wasabideck_forward/wasabideck_forward/hedging.py
@@ -10,7 +10,7 @@
 from .attempts import Attempt
 from .server_connection import FailoverRequested
 
-__all__ = ["Replaced", "wait_ignoring_leave", "wait_or_hedge"]
+__all__ = ["Replaced", "wait_ignoring_failover", "wait_or_hedge"]
 
 # Interval between searches for a replacement server while the first one sends nothing
 # and none is available.
@@ -36,8 +36,8 @@
         self.failure = failure
 
 
-async def wait_ignoring_leave(wait: Callable[[], Awaitable[T]]) -> T:
-    """Return the result of ``wait``, ignoring requests to leave the server."""
+async def wait_ignoring_failover(wait: Callable[[], Awaitable[T]]) -> T:
+    """Return the result of ``wait``, ignoring requests to fail over."""
     while True:
         try:
             return await wait()
@@ -76,7 +76,7 @@
     Replaced
         Another server has started to respond.
     """
-    original = asyncio.ensure_future(wait_ignoring_leave(wait))
+    original = asyncio.ensure_future(wait_ignoring_failover(wait))
     search = asyncio.ensure_future(_find_until_done(original, find_replacement))
     handed_over = False
     try:
--- a/packages/wasabideck_forward/wasabideck_forward/recall.py
+++ b/packages/wasabideck_forward/wasabideck_forward/recall.py
@@ -84,9 +84,9 @@
             required = self.cluster_state.min_version(
                 request.engine.model, max_age_seconds, now
             )
-            held_version = self._held_version(request, now)
-            if held_version < required:
-                self._fail(request, f"version {held_version}, {required} is due")
+            loaded_version = self._loaded_version(request, now)
+            if loaded_version < required:
+                self._fail(request, f"version {loaded_version}, {required} is due")
 
     def resume_draining_elsewhere(self, now: float) -> None:
         """Resume started streams elsewhere if their servers drain for too long."""
@@ -111,7 +111,7 @@
             self.cluster_state.backends.get(request.backend.server) or request.backend
         )
 
-    def _held_version(self, request: InFlightRequest, now: float) -> int:
+    def _loaded_version(self, request: InFlightRequest, now: float) -> int:
         """Return the version that the server starts requests on; 0 if unknown."""
         return self._backend(request).loaded_version(
             request.engine.model, request.engine.layers, now
--- a/packages/wasabideck_forward/wasabideck_forward/server_connection.py
+++ b/packages/wasabideck_forward/wasabideck_forward/server_connection.py
@@ -46,7 +46,7 @@
 
 
 class FailoverRequested(Exception):
-    """The request should move to another server, and leave this one after that."""
+    """The request should fail over to another server before it ends at this one."""
 
 
 class ServerResponse:
@@ -54,7 +54,7 @@
 
     Attributes
     ----------
-    head : AnswerHead or None
+    head : ResponseHead or None
         The head, once the headers are complete.
     started : bool
         Whether bytes of the body were received: the server has started the request.
@@ -64,8 +64,8 @@
         Why no more data will be received.
     """
 
-    def __init__(self, request: str, bodyless: bool):
-        self.request = request
+    def __init__(self, request_id: str, bodyless: bool):
+        self.request_id = request_id
         self.bodyless = bodyless
         self.head: ResponseHead | None = None
         self.started = False
@@ -74,7 +74,7 @@
         self._parts: deque[bytes] = deque()
         self._buffered_bytes = 0
         self._waiter: asyncio.Future | None = None
-        self._leave_asked = False
+        self._failover_requested = False
         self.resume_reading: Callable[[], None] = lambda: None
 
     async def read_head(self) -> ResponseHead:
@@ -88,8 +88,8 @@
     async def read(self) -> bytes:
         """Return the next bytes of the body, or empty bytes at its end.
 
-        Raises the failure passed to ``fail``, and ``FailoverRequested`` once after
-        ``ask_to_leave``.
+        Raises the failure passed to ``fail``, and ``FailoverRequested`` once after a
+        call of ``request_failover``.
         """
         while not self._parts:
             # Checks the failure before the end: data received after a failure is
@@ -98,8 +98,8 @@
                 raise self.failure
             if self.ended:
                 return b""
-            if self._leave_asked:
-                self._leave_asked = False
+            if self._failover_requested:
+                self._failover_requested = False
                 raise FailoverRequested("the server is shutting down")
             await self._wait()
         data = b"".join(self._parts)
@@ -134,8 +134,8 @@
         return data
 
     def request_failover(self) -> None:
-        """Tell the reader to find another server, while this one continues."""
-        self._leave_asked = True
+        """Have the reader find another server, while this one continues."""
+        self._failover_requested = True
         self.wake()
 
     def fail(self, failure: WasabideckError) -> None:
@@ -167,16 +167,16 @@
 
     def __init__(
         self,
-        wire: HeadCodec,
+        head_codec: HeadCodec,
         clock: Callable[[], float],
         record_received: Callable[[float], None],
     ):
-        self._wire = wire
+        self._head_codec = head_codec
         self._clock = clock
         self._record_received = record_received
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._answer: ServerResponse | None = None
+        self._response: ServerResponse | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._skipping_stale = False
         self._stale_responses = 0
@@ -189,18 +189,18 @@
 
     # Methods for the owner of the connection
 
-    def send(self, data: bytes, answer: ServerResponse) -> None:
-        """Send a request, whose response is added to ``answer``."""
-        self._answer = answer
+    def send(self, data: bytes, response: ServerResponse) -> None:
+        """Send a request, whose response is added to ``response``."""
+        self._response = response
         self._bytes_before_head = 0
-        answer.resume_reading = self._resume_reading
+        response.resume_reading = self._resume_reading
         self._transport.write(data)
 
     @property
     def usable(self) -> bool:
         """Whether another request may be sent on it."""
         return (
-            self._answer is None
+            self._response is None
             and not self._not_reusable
             and self._transport is not None
             and not self._transport.is_closing()
@@ -229,8 +229,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes; close the connection if no request is in progress."""
-        answer = self._answer
-        if answer is None:
+        response = self._response
+        if response is None:
             # A second response to the last request. It belongs to no request, and the
             # bytes after it could be taken for the response to the next request.
             self.close()
@@ -240,7 +240,7 @@
         except httptools.HttpParserError as exc:
             self._fail(f"invalid HTTP: {exc}")
             return
-        if answer.head is not None:
+        if response.head is not None:
             self._record_received(self._clock())
             return
         # Bytes before the complete head are no sign that the server works: a server
@@ -251,54 +251,56 @@
 
     def eof_received(self) -> bool:
         """End a body of unknown length, which ends where the connection ends."""
-        if self._body_ends_at_close and self._answer and not self._skipping_stale:
+        if self._body_ends_at_close and self._response and not self._skipping_stale:
             self._finish()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the response that is not complete."""
         self._not_reusable = True
-        if self._answer is not None:
+        if self._response is not None:
             self._fail(f"connection lost: {exc or 'closed by the server'}")
 
     # Callbacks of the parser
 
     def on_message_begin(self) -> None:  # noqa: D102
         self._headers = []
-        if self._answer is None:
+        if self._response is None:
             self._not_reusable = True
 
     def on_header(self, name: bytes, value: bytes) -> None:  # noqa: D102
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:  # noqa: D102
-        answer = self._answer
+        response = self._response
         status = self._parser.get_status_code()
-        if answer is None or status < 200:
+        if response is None or status < 200:
             return
-        head = self._wire.parse_response_head(status, self._headers)
-        if head.request_id != answer.request and not self._accepts_unidentified(head):
+        head = self._head_codec.parse_response_head(status, self._headers)
+        if head.request_id != response.request_id and not self._accepts_unidentified(
+            head
+        ):
             self._skipping_stale = True
             return
         self._skipping_stale = False
         self._idle_timeout_seconds = keep_alive_seconds(self._headers)
         if announces_close(self._headers):
             self._not_reusable = True
-        answer.head = head
+        response.head = head
         self._body_ends_at_close = _ends_with_connection(self._headers)
         self._not_reusable = self._not_reusable or self._body_ends_at_close
-        answer.wake()
-        if answer.bodyless:
+        response.wake()
+        if response.bodyless:
             self._finish()
 
     def on_body(self, data: bytes) -> None:  # noqa: D102
-        if self._answer is None or self._skipping_stale:
+        if self._response is None or self._skipping_stale:
             return
-        if not self._answer.add(data):
+        if not self._response.add(data):
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:  # noqa: D102
-        if self._answer is None or self._parser.get_status_code() < 200:
+        if self._response is None or self._parser.get_status_code() < 200:
             return
         if self._skipping_stale:
             self._skip_stale()
@@ -321,16 +323,16 @@
             self._fail("too many responses to other requests")
 
     def _finish(self) -> None:
-        answer, self._answer = self._answer, None
+        response, self._response = self._response, None
         self.unused = False
         self.last_used_at = self._clock()
-        answer.ended = True
-        answer.wake()
+        response.ended = True
+        response.wake()
 
     def _fail(self, why: str) -> None:
-        answer, self._answer = self._answer, None
-        if answer is not None:
-            answer.fail(AnswerBroken(why))
+        response, self._response = self._response, None
+        if response is not None:
+            response.fail(AnswerBroken(why))
         self.close()
 
     def _resume_reading(self) -> None:
--- a/packages/wasabideck_forward/wasabideck_forward/server_pool.py
+++ b/packages/wasabideck_forward/wasabideck_forward/server_pool.py
@@ -43,7 +43,7 @@
 class ServerPool:
     """Idle connections by server; the one used last is used first."""
 
-    wire: HeadCodec
+    head_codec: HeadCodec
     clock: Callable[[], float]
     _idle: dict[str, list[ServerConnection]] = field(factory=dict)
 
@@ -114,7 +114,7 @@
             backend.last_received_at = now
 
         def factory() -> ServerConnection:
-            return ServerConnection(self.wire, self.clock, record_received)
+            return ServerConnection(self.head_codec, self.clock, record_received)
 
         loop = asyncio.get_running_loop()
         try:
--- a/packages/wasabideck_lab/wasabideck_lab/plot.py
+++ b/packages/wasabideck_lab/wasabideck_lab/plot.py
@@ -19,7 +19,7 @@
     replicas = rows[0]["replicas"]
     bound = rows[0]["lower_bound_s"]
     # Cuts the time axis at four times the bound: if runs that take far longer set the
-    # scale, the curves of the other runs could not be told apart.
+    # scale, the curves of the other runs could not be distinguished.
     last_seconds = max(max(row["curve"], default=0.0) for row in rows)
     axis_end = min(max(last_seconds, bound), 4 * bound) * 1.05
 
--- a/tests/forward/test_entry_process.py
+++ b/tests/forward/test_entry_process.py
@@ -11,7 +11,7 @@
 from wasabideck_base.state_sync import StateSync
 from wasabideck_base.vm_process import VMProcess
 from wasabideck_base.vm_settings import StoreSettings, VMSettings
-from wasabideck_forward.entry_process import _assemble, _bounds
+from wasabideck_forward.entry_process import _assemble, _dispatch_limits
 from wasabideck_forward.forwarder import RECALL_INTERVAL_SECONDS, Forwarder
 from wasabideck_policy.membership import ENTRY, Member
 
@@ -40,14 +40,14 @@
     # Guards against requests that start on expired weights because they are recalled
     # too late: the check runs at intervals, and the close takes time to reach the
     # server.
-    bounds = _bounds(process.cfg)
+    limits = _dispatch_limits(process.cfg)
     assert (
-        bounds.max_queue_age_seconds
-        < bounds.max_send_age_seconds
-        < bounds.max_start_age_seconds
+        limits.max_queue_age_seconds
+        < limits.max_send_age_seconds
+        < limits.max_start_age_seconds
     )
     assert (
-        bounds.max_start_age_seconds + 3 * RECALL_INTERVAL_SECONDS
+        limits.max_start_age_seconds + 3 * RECALL_INTERVAL_SECONDS
         < process.cfg.limits.version_deadline_seconds
     )
 
--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -139,7 +139,7 @@
 
 
 def _errors():
-    """Types of failures, which are told as reasons."""
+    """Types of failures, which are reported as reasons."""
     bases = {"WasabideckError"}
     classes = [n for t in _trees() for n in ast.walk(t) if isinstance(n, ast.ClassDef)]
     while True:
--- a/tests/two_builds.py
+++ b/tests/two_builds.py
@@ -30,8 +30,8 @@
 from wasabideck_lab.toml_writer import to_toml
 
 WAIT_SECONDS = 25.0
-# Events that tell of a message, row or setting that could not be read, or of a loop
-# that failed.
+# Events that report a message, row or setting that could not be read, or a loop that
+# failed.
 BAD_EVENTS = {
     "configuration.unusable",
     "content.unreadable",
@@ -135,8 +135,8 @@
         # settings files and engines.
         old, new = sorted(set(builds.values()), key=list(builds.values()).index)
         MixedLab.builds = {vm: new if b == old else old for vm, b in builds.items()}
-        # Entries come last: one that was told that an agent stops sends nothing more
-        # to a VM of that name.
+        # Entries come last: one that an agent has notified of its stop sends nothing
+        # more to a VM of that name.
         for vm in sorted(lab.processes, key=lambda vm: vm.startswith("entry")):
             code = await lab.processes[vm].stop()
             expect(code == 0, f"{vm} ended with {code}")
@@ -613,7 +613,7 @@
         site.declare(2)
         await site.loaded(2)
         await site.serves("/b/", 2)
-        # Each entry in turn hears of a change from the other one only.
+        # Each entry in turn learns of a change from the other one only.
         for number, entry in ((3, "entry-1"), (4, "entry-2")):
             site.store.cut.add(entry)
             site.configure(number, ["/a/", f"/c{number}/"])
