--- a/packages/wasabideck_entry/wasabideck_entry/fleet.py
+++ b/packages/wasabideck_entry/wasabideck_entry/fleet.py
@@ -40,7 +40,7 @@
     ----------
     members : list of Member
         The list last read from the platform.
-    servers : dict of str to Server
+    servers : dict of str to ServerState
         The servers that this entry uses, by VM.
     servers_changed : asyncio.Event
         Set when the servers may have changed; its waiter clears it.
--- a/packages/wasabideck_forward/wasabideck_forward/http_heads.py
+++ b/packages/wasabideck_forward/wasabideck_forward/http_heads.py
@@ -47,7 +47,7 @@
 
 @frozen
 class ServerLoad:
-    """Running and queued requests of a server, and the most that it runs at once."""
+    """Running and queued requests of a server, and the maximum that it runs at once."""
 
     running: int
     waiting: int
--- a/packages/wasabideck_lab/wasabideck_lab/burst_ablation.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_ablation.py
@@ -87,8 +87,8 @@
     "waves": Switch(change_load=_swap_simultaneously),
 }
 
-# Briefs, notes and replies of a printing desk, which has shorter goals and faster
-# engines.
+# Briefs, notes and replies of a printing desk, which has shorter target times and
+# faster engines.
 _PRINTING_KINDS = (
     DraftKind(40.0, 2.4, 0.61, 0.406, 1290, 126),
     DraftKind(28.8, 2.1, 0.52, 0.406, 787, 126),
--- a/packages/wasabideck_lab/wasabideck_lab/burst_model.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_model.py
@@ -56,14 +56,14 @@
     ----------
     value, late_value : float
         Mean value of a response in time, and of a late one.
-    goal_seconds : float
+    target_seconds : float
         Time within which a first event must arrive.
     """
 
     arrivals_per_second: float
     value: float
     late_value: float
-    goal_seconds: float
+    target_seconds: float
     mean_prompt_tokens: float
     mean_output_tokens: float
     max_prompt_tokens: int = 3880
@@ -480,7 +480,7 @@
         40 + kind.mean_prompt_tokens + 10 * kind.mean_output_tokens
     )
     value_ratio = min(4.0, 0.3 + 0.7 * size)
-    draft = Draft(at, kind.goal_seconds, kind.value * value_ratio, prompt, output)
+    draft = Draft(at, kind.target_seconds, kind.value * value_ratio, prompt, output)
     return draft
 
 
@@ -500,7 +500,7 @@
             inf if draft.first_at is None else draft.first_at - draft.arrived_at
         )
         if draft.ended:
-            is_in_time = first_event_seconds + NETWORK_SECONDS <= draft.goal_seconds
+            is_in_time = first_event_seconds + NETWORK_SECONDS <= draft.target_seconds
             is_in_time = (
                 is_in_time
                 and draft.longest_interval_seconds <= model.max_event_interval_seconds
--- a/packages/wasabideck_lab/wasabideck_lab/burst_policies.py
+++ b/packages/wasabideck_lab/wasabideck_lab/burst_policies.py
@@ -52,7 +52,8 @@
             self.data_centre,
             MODEL,
             1,
-            late=now > draft.arrived_at + draft.goal_seconds - MIN_FIRST_EVENT_SECONDS,
+            late=now
+            > draft.arrived_at + draft.target_seconds - MIN_FIRST_EVENT_SECONDS,
             started=draft.first_at is not None,
             sent_ahead=self._sent_ahead[attempt],
             entries=self.model.entries,
--- a/packages/wasabideck_lab/wasabideck_lab/capacity.py
+++ b/packages/wasabideck_lab/wasabideck_lab/capacity.py
@@ -182,10 +182,10 @@
     rates = (20, 40, 80, 160)
     entry_cpu, agent_cpu = [], []
     with tempfile.TemporaryDirectory() as folder:
-        lab, stage = await _small_fleet(Path(folder))
+        lab, entries = await _small_fleet(Path(folder))
         try:
             for rate in rates:
-                traffic = Traffic(stage, random.Random(rate), rate)
+                traffic = Traffic(entries, random.Random(rate), rate)
                 running = asyncio.create_task(traffic.run(int(rate * MEASURED_SECONDS)))
                 usages = await asyncio.gather(
                     *(
@@ -223,12 +223,12 @@
     tokens, rate = (8, 32, 64, 128), 15.0
     entry_cpu, agent_cpu, token_rates = [], [], []
     with tempfile.TemporaryDirectory() as folder:
-        lab, stage = await _small_fleet(Path(folder))
+        lab, entries = await _small_fleet(Path(folder))
         try:
             for count in tokens:
                 for engine in lab.engines.values():
                     engine.tokens_per_response = count
-                traffic = Traffic(stage, random.Random(count), rate)
+                traffic = Traffic(entries, random.Random(count), rate)
                 running = asyncio.create_task(traffic.run(int(rate * MEASURED_SECONDS)))
                 usages = await asyncio.gather(
                     *(
--- a/packages/wasabideck_lab/wasabideck_lab/engine_model.py
+++ b/packages/wasabideck_lab/wasabideck_lab/engine_model.py
@@ -48,7 +48,7 @@
     ----------
     arrived_at : float
         When its caller first sent it, seconds.
-    goal_seconds : float
+    target_seconds : float
         Time within which its first event must arrive.
     value : float
         Value of a response in time.
@@ -60,7 +60,7 @@
     """
 
     arrived_at: float
-    goal_seconds: float
+    target_seconds: float
     value: float
     prompt_tokens: int
     output_tokens: int
--- a/packages/wasabideck_lab/wasabideck_lab/fault_scenarios.py
+++ b/packages/wasabideck_lab/wasabideck_lab/fault_scenarios.py
@@ -115,31 +115,31 @@
 ) -> dict:
     """Run one scenario under traffic, and return its audit as a row with ``clean``."""
     with tempfile.TemporaryDirectory() as folder:
-        stage = await _start_stage(Path(folder), seed, rate)
+        context = await _start_context(Path(folder), seed, rate)
         try:
-            running = asyncio.create_task(stage.traffic.run(requests))
-            await SCENARIOS[name](stage)
+            running = asyncio.create_task(context.traffic.run(requests))
+            await SCENARIOS[name](context)
             await running
-            result = audit(stage.lab, stage.traffic.results)
+            result = audit(context.lab, context.traffic.results)
         finally:
-            exit_codes = await stage.lab.close()
-            for relay in stage.relays.values():
+            exit_codes = await context.lab.close()
+            for relay in context.relays.values():
                 await relay.close()
-    return _result_row(name, seed, result, stage, exit_codes)
+    return _result_row(name, seed, result, context, exit_codes)
 
 
 def _result_row(
-    name: str, seed: int, result: Audit, stage: ScenarioContext, exit_codes: dict
+    name: str, seed: int, result: Audit, context: ScenarioContext, exit_codes: dict
 ) -> dict:
     for vm, code in exit_codes.items():
-        if code and vm not in stage.killed:
-            stage.problems.append(f"{vm} exited with {code}")
-    clean = result.clean and not stage.problems
+        if code and vm not in context.killed:
+            context.problems.append(f"{vm} exited with {code}")
+    clean = result.clean and not context.problems
     row = {"scenario": name, "seed": seed, "clean": clean} | asdict(result)
-    return row | {"problems": stage.problems, "figures": stage.figures}
+    return row | {"problems": context.problems, "figures": context.figures}
 
 
-async def _start_stage(folder: Path, seed: int, rate: float) -> ScenarioContext:
+async def _start_context(folder: Path, seed: int, rate: float) -> ScenarioContext:
     lab = LabFleet(
         folder, seed, token_seconds=TOKEN_SECONDS, plain_seconds=PLAIN_SECONDS
     )
@@ -156,11 +156,11 @@
         entries = (p for vm, p in lab.processes.items() if vm.startswith("entry"))
         return [p.http_address for p in entries if p.subprocess.returncode is None]
 
-    stage = ScenarioContext(lab, Traffic(entry_addresses, rng, rate), rng, folder)
-    async with stage.entry_session() as session:
+    context = ScenarioContext(lab, Traffic(entry_addresses, rng, rate), rng, folder)
+    async with context.entry_session() as session:
         await submit_ticket(session, write_first_ticket(folder, digest))
         await wait_in_effect(session, 1, 3)
-    for vm in stage.entry_vms():
-        async with stage.entry_session(vm) as session:
+    for vm in context.entry_vms():
+        async with context.entry_session(vm) as session:
             await wait_serving(session, 6)
-    return stage
+    return context
--- a/packages/wasabideck_lab/wasabideck_lab/ticket_steps.py
+++ b/packages/wasabideck_lab/wasabideck_lab/ticket_steps.py
@@ -44,14 +44,16 @@
         return self.body.get("title", "")
 
 
-def publish(stage: ScenarioContext, version: str) -> str:
+def publish(context: ScenarioContext, version: str) -> str:
     """Publish a version of the drafter, and return the digest of its manifest."""
-    weights = generate_weights("drafter", version, CHUNKS, CHUNK_BYTES, stage.lab.seed)
-    return stage.lab.publish(*weights)
+    weights = generate_weights(
+        "drafter", version, CHUNKS, CHUNK_BYTES, context.lab.seed
+    )
+    return context.lab.publish(*weights)
 
 
 async def submit_ticket(
-    stage: ScenarioContext, vm: str, number: int, version: str = "", **change: str
+    context: ScenarioContext, vm: str, number: int, version: str = "", **change: str
 ) -> EntryResponse:
     """Submit a ticket that declares a version for the drafters.
 
@@ -62,24 +64,24 @@
         "scope": "drafting",
         "model": "drafter",
         "version": version,
-        "manifest": publish(stage, version),
+        "manifest": publish(context, version),
     }
     table = {"number": number, "note": "", "change": [row | change]}
     body = to_toml(table).encode()
-    return await _send_request(stage, vm, "POST", "/v1/tickets", body)
+    return await _send_request(context, vm, "POST", "/v1/tickets", body)
 
 
-async def query_entry(stage: ScenarioContext, vm: str, path: str) -> EntryResponse:
+async def query_entry(context: ScenarioContext, vm: str, path: str) -> EntryResponse:
     """Return the response of an entry to an operator's query."""
-    return await _send_request(stage, vm, "GET", path, None)
+    return await _send_request(context, vm, "GET", path, None)
 
 
 async def _send_request(
-    stage: ScenarioContext, vm: str, method: str, path: str, body: bytes | None
+    context: ScenarioContext, vm: str, method: str, path: str, body: bytes | None
 ) -> EntryResponse:
     timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS)
     try:
-        async with stage.entry_session(vm) as session:
+        async with context.entry_session(vm) as session:
             req = session.request(
                 method, path, data=body, headers=OPERATOR_HEADERS, timeout=timeout
             )
@@ -91,10 +93,10 @@
         return EntryResponse(0, {})
 
 
-def expect(stage: ScenarioContext, condition: bool, problem: str) -> None:
+def expect(context: ScenarioContext, condition: bool, problem: str) -> None:
     """Record a problem of the scenario unless a condition holds."""
     if not condition:
-        stage.problems.append(problem)
+        context.problems.append(problem)
 
 
 async def wait_until(condition, seconds: float) -> bool:
@@ -107,13 +109,13 @@
     return True
 
 
-def is_accepted(stage: ScenarioContext, number: int) -> bool:
+def is_accepted(context: ScenarioContext, number: int) -> bool:
     """Whether the table contains a ticket."""
-    return f"{number:020d}" in stage.lab.table.rows.get("tickets", {})
+    return f"{number:020d}" in context.lab.table.rows.get("tickets", {})
 
 
 async def wait_in_effect_everywhere(
-    stage: ScenarioContext,
+    context: ScenarioContext,
     number: int,
     seconds: float = MAX_IN_EFFECT_SECONDS,
     excluded: frozenset[str] = frozenset(),
@@ -122,33 +124,35 @@
 
     Records a problem of the scenario if this takes more than ``seconds``.
     """
-    await wait_until(lambda: is_accepted(stage, number), CALL_TIMEOUT_SECONDS)
+    await wait_until(lambda: is_accepted(context, number), CALL_TIMEOUT_SECONDS)
     started = time.monotonic()
     in_effect = await wait_until(
-        lambda: not _vms_without_ticket(stage, number, excluded),
+        lambda: not _vms_without_ticket(context, number, excluded),
         seconds + CALL_TIMEOUT_SECONDS,
     )
     elapsed = time.monotonic() - started
-    missing = sorted(_vms_without_ticket(stage, number, excluded))
-    expect(stage, in_effect, f"ticket {number} is not in effect on {missing}")
+    missing = sorted(_vms_without_ticket(context, number, excluded))
+    expect(context, in_effect, f"ticket {number} is not in effect on {missing}")
     expect(
-        stage, elapsed <= seconds, f"ticket {number} is in effect after {elapsed:.2f} s"
+        context,
+        elapsed <= seconds,
+        f"ticket {number} is in effect after {elapsed:.2f} s",
     )
-    stage.figures.setdefault(f"in_force_{number}", round(elapsed, 3))
+    context.figures.setdefault(f"in_force_{number}", round(elapsed, 3))
     return elapsed
 
 
 def _vms_without_ticket(
-    stage: ScenarioContext, number: int, excluded: frozenset[str]
+    context: ScenarioContext, number: int, excluded: frozenset[str]
 ) -> list[str]:
     return [
         vm
-        for vm, engine in stage.lab.engines.items()
+        for vm, engine in context.lab.engines.items()
         if vm not in excluded and engine.loaded.fence != number
     ]
 
 
-async def vms_in_effect(stage: ScenarioContext, vm: str, number: int) -> list[str]:
+async def vms_in_effect(context: ScenarioContext, vm: str, number: int) -> list[str]:
     """Return the VMs on which a ticket is in effect according to ``ticket status``."""
-    response = await query_entry(stage, vm, f"/v1/tickets/{number}/status")
+    response = await query_entry(context, vm, f"/v1/tickets/{number}/status")
     return response.body.get("in_force", [])
--- a/tests/forward/test_forwarding.py
+++ b/tests/forward/test_forwarding.py
@@ -554,9 +554,10 @@
 
 
 def test_the_rest_of_a_stream_is_not_queued_behind_late_requests(play):
-    # A draft's first event met the goal, and then its VM was suspended. The rest was
-    # sent to a loaded engine as a late request, and no event came before the caller
-    # disconnected: half of a draft was read, and both engines had worked for nobody.
+    # A draft's first event came within the target time, and then its VM was suspended.
+    # The rest was sent to a loaded engine as a late request, and no event came before
+    # the caller disconnected: half of a draft was read, and both engines had worked for
+    # nobody.
     async def scenario():
         entry = Entry(
             configuration(route(**STREAM, target_seconds=0.13), engine=ENGINE)
