--- a/tests/agent_entry_fakes.py
+++ b/tests/agent_entry_fakes.py
@@ -58,7 +58,7 @@
 class FakeTable:
     """A table whose next responses are listed in ``plan``.
 
-    Each transaction takes one word: ``ok``, ``down`` (503, not applied), ``lost``
+    Each transaction takes one entry: ``ok``, ``down`` (503, not applied), ``lost``
     (applied, no response), ``late`` (no response, applied by ``apply_late``).
     """
 
@@ -77,23 +77,23 @@
 
     async def transact(self, checks, writes):
         self.transactions += 1
-        word = self.plan.pop(0) if self.plan else "ok"
+        planned = self.plan.pop(0) if self.plan else "ok"
         self.entered.set()
         if self.hold:
             await self.hold.wait()
         await asyncio.sleep(0)
-        if word == "down":
+        if planned == "down":
             raise PlatformUnavailable("fake", "down", maybe_applied=False)
-        if word == "late":
+        if planned == "late":
             self.late.append((checks, writes))
             raise PlatformUnavailable("fake", "late", maybe_applied=True)
         failed = self._apply(checks, writes)
-        if word == "lost":
+        if planned == "lost":
             raise PlatformUnavailable("fake", "lost", maybe_applied=True)
         return failed
 
     def apply_late(self):
-        """Apply the writes that got the word ``late``."""
+        """Apply the writes whose entry was ``late``."""
         late, self.late = self.late, []
         for checks, writes in late:
             self._apply(checks, writes)
@@ -176,7 +176,7 @@
     def __attrs_post_init__(self):
         self.channels = Channels(HybridClock())
         claims = ClaimStore(self.table, self.events, retry_seconds=0.0)
-        once = AtMostOnce(
+        at_most_once = AtMostOnce(
             Holder(self.vm, "", self.incarnation),
             claims,
             self.channels,
@@ -191,7 +191,7 @@
             self.events,
             self.engine,
             self.plain,
-            once,
+            at_most_once,
             Attempts(AttemptRegistry(self.incarnation)),
             serving=ServedState(1, "drafter", "v1", "m1"),
             clock=self.now,
@@ -293,7 +293,7 @@
     return None
 
 
-def make_stream(server, req, now, silence=0.2):
+def make_stream(server, req, now, receive_timeout=0.2):
     return AttemptStream(
         server,
         req,
@@ -302,7 +302,7 @@
         FakeEvents(),
         unresolved,
         now,
-        silence,
+        receive_timeout,
     )
 
 
@@ -327,7 +327,7 @@
         FakeFleet(*servers),
         Channels(HybridClock()),
         FakeEvents(),
-        lambda servers, ask, now, rng: servers[0],
+        lambda servers, request, now, rng: servers[0],
         random.Random(7),
         suspects,
         AttemptResolver(table or FakeTable()),
--- a/tests/forward/conftest.py
+++ b/tests/forward/conftest.py
@@ -173,7 +173,7 @@
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
 
-    async def ask(self, *lines, body=b"", method=b"GET", path=b"/a", name=b"req-1"):
+    async def send(self, *lines, body=b"", method=b"GET", path=b"/a", name=b"req-1"):
         head = [
             b"%s %s HTTP/1.1" % (method, path),
             b"Host: h.example",
@@ -185,7 +185,7 @@
         self.writer.write(b"\r\n".join(head) + b"\r\n\r\n" + body)
         await self.writer.drain()
 
-    async def answer(self):
+    async def read_response(self):
         """Return status, headers in lower case, and body of the next response."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         lines = head.split(b"\r\n")
--- a/tests/forward/test_crashing_requests.py
+++ b/tests/forward/test_crashing_requests.py
@@ -45,19 +45,19 @@
             await _add_crashing(entry)
             _prefer(entry, f"i-{crash}")
             caller = await entry.caller()
-            await caller.ask(method=b"POST", body=b"poison", name=b"r%d" % crash)
-            assert (await caller.answer())[0] == 502
+            await caller.send(method=b"POST", body=b"poison", name=b"r%d" % crash)
+            assert (await caller.read_response())[0] == 502
             await _wait_for_events(entry, "server.died", crash + 1)
         third = await entry.add_server(answers())
         _prefer(entry, f"i-{MAX_CRASHES}")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"poison", name=b"again")
-        status, headers, body = await caller.answer()
+        await caller.send(method=b"POST", body=b"poison", name=b"again")
+        status, headers, body = await caller.read_response()
         assert (status, body) == (503, b'{"error":"Quarantined"}')
         assert float(headers[b"retry-after"]) > 100
         assert third.requests == []
-        await caller.ask(method=b"POST", body=b"sound", name=b"other")
-        assert (await caller.answer())[0] == 200
+        await caller.send(method=b"POST", body=b"sound", name=b"other")
+        assert (await caller.read_response())[0] == 200
 
     play(scenario)
 
@@ -71,14 +71,14 @@
             await entry.add_server(resets)
             _prefer(entry, f"i-{number}")
             caller = await entry.caller()
-            await caller.ask(method=b"POST", body=b"order", name=b"r%d" % number)
-            assert (await caller.answer())[0] == 502
+            await caller.send(method=b"POST", body=b"order", name=b"r%d" % number)
+            assert (await caller.read_response())[0] == 502
             while entry.dispatcher.crash_detector._probing:
                 await asyncio.sleep(0)
         await entry.add_server(answers(b"done"))
         _prefer(entry, f"i-{MAX_CRASHES + 1}")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"order", name=b"last")
-        assert (await caller.answer())[2] == b"done"
+        await caller.send(method=b"POST", body=b"order", name=b"last")
+        assert (await caller.read_response())[2] == b"done"
 
     play(scenario)
--- a/tests/forward/test_endless_bytes.py
+++ b/tests/forward/test_endless_bytes.py
@@ -69,9 +69,9 @@
         await entry.add_server(answers(b"sound"))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask()
+        await caller.send()
         async with asyncio.timeout(TIMEOUT / 2):
-            status, _, body = await caller.answer()
+            status, _, body = await caller.read_response()
         assert (status, body) == (200, b"sound")
         await asyncio.wait_for(endless.closed.wait(), 1)
         assert endless.sent < MAX_SENT_BYTES
@@ -88,9 +88,9 @@
         second = await entry.add_server(answers(b"sound"))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask(method=b"POST")
+        await caller.send(method=b"POST")
         async with asyncio.timeout(TIMEOUT / 2):
-            status, _, _ = await caller.answer()
+            status, _, _ = await caller.read_response()
         assert status in (502, 504)
         assert second.requests == []
         assert endless.sent < MAX_SENT_BYTES
@@ -112,9 +112,9 @@
         await entry.add_server(streams(event(1), event(2)), loaded=loaded(1))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask(method=b"POST")
+        await caller.send(method=b"POST")
         async with asyncio.timeout(2):
-            status, _, body = await caller.answer()
+            status, _, body = await caller.read_response()
         assert (status, body) == (200, event(1) + event(2))
         assert bad.sent < MAX_SENT_BYTES
 
@@ -132,9 +132,9 @@
         await entry.add_server(answers(b"sound"))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask()
+        await caller.send()
         async with asyncio.timeout(3):
-            status, _, body = await caller.answer()
+            status, _, body = await caller.read_response()
         assert (status, body) == (200, b"sound")
 
     play(scenario)
@@ -152,10 +152,10 @@
         entry = Entry(configuration(route(timeout_seconds=1.0)))
         await entry.add_server(bad)
         caller = await entry.caller()
-        await caller.ask()
+        await caller.send()
         with pytest.raises(asyncio.IncompleteReadError):
             async with asyncio.timeout(1.5):
-                await caller.answer()
+                await caller.read_response()
         await asyncio.wait_for(bad.closed.wait(), 1)
 
     play(scenario)
--- a/tests/forward/test_forwarding.py
+++ b/tests/forward/test_forwarding.py
@@ -38,8 +38,8 @@
             answers(b"body", b"201 Created", b"X-Other: 1\r\nConnection: close\r\n")
         )
         caller = await entry.caller()
-        await caller.ask(b"X-Deadline-Ms: 600", path=b"/a%2Fb?q=%41")
-        status, headers, body = await caller.answer()
+        await caller.send(b"X-Deadline-Ms: 600", path=b"/a%2Fb?q=%41")
+        status, headers, body = await caller.read_response()
         assert (status, body) == (201, b"body")
         assert headers[b"x-response-seal"] == b"seal"
         assert headers[b"x-other"] == b"1"
@@ -56,8 +56,8 @@
         entry = Entry(configuration(route()))
         server = await entry.add_server(answers())
         caller = await entry.caller()
-        await caller.ask(b"X-Deadline-Ms: 600")
-        await caller.answer()
+        await caller.send(b"X-Deadline-Ms: 600")
+        await caller.read_response()
         left = int(server.requests[0].split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0])
         assert 300 < left <= 600
 
@@ -69,8 +69,8 @@
         entry = Entry(configuration(route(), keys=KEYS))
         server = await entry.add_server(answers())
         caller = await entry.caller()
-        await caller.ask(b"Authorization: Token k1", b"X-Tenant: org2")
-        await caller.answer()
+        await caller.send(b"Authorization: Token k1", b"X-Tenant: org2")
+        await caller.read_response()
         assert b"X-Tenant: org1\r\n" in server.requests[0]
         assert b"org2" not in server.requests[0]
         assert b"k1" not in server.requests[0]
@@ -84,11 +84,11 @@
     async def scenario():
         entry = Entry(configuration(route(), keys=KEYS))
         caller = await entry.caller()
-        await caller.ask(b"Authorization: Token k9")
-        assert (await caller.answer())[0] == 401
+        await caller.send(b"Authorization: Token k9")
+        assert (await caller.read_response())[0] == 401
         entry.cluster_state.last_contact_at = -100.0
-        await caller.ask(b"Authorization: Token k9")
-        status, headers, _ = await caller.answer()
+        await caller.send(b"Authorization: Token k9")
+        status, headers, _ = await caller.read_response()
         assert status == 503
         assert float(headers[b"retry-after"]) > 0
 
@@ -100,8 +100,8 @@
         entry = Entry(None)
         entry.caller_endpoint.limits = CallerLimits
         caller = await entry.caller()
-        await caller.ask()
-        assert (await caller.answer())[0] == 503
+        await caller.send()
+        assert (await caller.read_response())[0] == 503
 
     play(scenario)
 
@@ -113,8 +113,8 @@
         await entry.add_server(answers(b"one"))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"order")
-        assert (await caller.answer())[2] == b"one"
+        await caller.send(method=b"POST", body=b"order")
+        assert (await caller.read_response())[2] == b"one"
 
     play(scenario)
 
@@ -129,8 +129,8 @@
         other = await entry.add_server(answers())
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"order")
-        assert (await caller.answer())[0] == 502
+        await caller.send(method=b"POST", body=b"order")
+        assert (await caller.read_response())[0] == 502
         assert other.requests == []
 
     play(scenario)
@@ -143,8 +143,8 @@
         await entry.add_server(answers(b"found"))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask()
-        assert (await caller.answer())[2] == b"found"
+        await caller.send()
+        assert (await caller.read_response())[2] == b"found"
 
     play(scenario)
 
@@ -155,8 +155,8 @@
         for _ in range(2):
             await entry.add_server(answers(b"no", b"500 Internal Server Error"))
         caller = await entry.caller()
-        await caller.ask()
-        status, headers, body = await caller.answer()
+        await caller.send()
+        status, headers, body = await caller.read_response()
         assert (status, body) == (500, b"no")
         assert headers[b"x-response-seal"] == b"seal"
 
@@ -174,8 +174,8 @@
             await entry.add_server(script)
             entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask()
-        status, _, body = await caller.answer()
+        await caller.send()
+        status, _, body = await caller.read_response()
         assert (status, body) == (500, b"no")
 
     play(scenario)
@@ -186,8 +186,8 @@
         entry = Entry(configuration(route(max_attempts=2)))
         servers = [await entry.add_server(refuses()) for _ in range(4)]
         caller = await entry.caller()
-        await caller.ask()
-        status, headers, _ = await caller.answer()
+        await caller.send()
+        status, headers, _ = await caller.read_response()
         assert status == 503
         assert b"retry-after" in headers
         assert sum(len(s.requests) for s in servers) == 2
@@ -218,8 +218,8 @@
         pool = SimpleNamespace(acquire=take_and_leave, release=entry.pool.release)
         entry.forwarder.attempts.pool = pool
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"order")
-        assert (await caller.answer())[::2] == (200, b"other")
+        await caller.send(method=b"POST", body=b"order")
+        assert (await caller.read_response())[::2] == (200, b"other")
         assert first.requests == []
 
     play(scenario)
@@ -238,10 +238,10 @@
 
         await entry.add_server(twice, answers(b"second"), answers(b"third"))
         caller = await entry.caller()
-        await caller.ask(name=b"req-1")
-        assert (await caller.answer())[2] == b"first"
-        await caller.ask(name=b"req-2")
-        _, headers, body = await caller.answer()
+        await caller.send(name=b"req-1")
+        assert (await caller.read_response())[2] == b"first"
+        await caller.send(name=b"req-2")
+        _, headers, body = await caller.read_response()
         assert headers[b"x-request-id"] == b"req-2"
         assert body == b"second"
 
@@ -260,8 +260,8 @@
         await entry.add_server(answers(b"first"), late)
         caller = await entry.caller()
         for name, expected in ((b"req-1", b"first"), (b"req-2", b"right")):
-            await caller.ask(name=name)
-            assert (await caller.answer())[2] == expected
+            await caller.send(name=name)
+            assert (await caller.read_response())[2] == expected
 
     play(scenario)
 
@@ -279,8 +279,8 @@
 
         await entry.add_server(truncated)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"x")
-        assert (await caller.answer())[0] == 502
+        await caller.send(method=b"POST", body=b"x")
+        assert (await caller.read_response())[0] == 502
 
     play(scenario)
 
@@ -300,8 +300,8 @@
 
         await entry.add_server(unframed)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"x")
-        assert (await caller.answer())[0] == status
+        await caller.send(method=b"POST", body=b"x")
+        assert (await caller.read_response())[0] == status
 
     play(scenario)
 
@@ -311,8 +311,8 @@
         entry = Entry(configuration(route(kind=Kind.UNSAFE, timeout_seconds=0.2)))
         server = await entry.add_server(hangs)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"x")
-        assert (await caller.answer())[0] == 504
+        await caller.send(method=b"POST", body=b"x")
+        assert (await caller.read_response())[0] == 504
         assert len(server.requests) == 1
 
     play(scenario)
@@ -325,7 +325,7 @@
         entry = Entry(configuration(route(**STREAM)))
         server = await entry.add_server(hangs)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         while not server.requests:
             await asyncio.sleep(0.005)
         caller.writer.close()
@@ -346,8 +346,8 @@
         other = await entry.add_server(streams(event(3), event(4)))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        status, _, body = await caller.answer()
+        await caller.send(method=b"POST", body=b"prompt")
+        status, _, body = await caller.read_response()
         assert status == 200
         assert body == b"".join(event(n) for n in (1, 2, 3, 4))
         assert b"Last-Event-Id: 2\r\n" in other.requests[0]
@@ -362,9 +362,9 @@
         await entry.add_server(streams(event(1), event(2), event(3)))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         with pytest.raises(asyncio.IncompleteReadError):
-            await caller.answer()
+            await caller.read_response()
 
     play(scenario)
 
@@ -374,9 +374,9 @@
         entry = Entry(configuration(route(kind=Kind.STREAM)))
         await entry.add_server(streams(event(1), then="cut", pause=0.02))
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         with pytest.raises(asyncio.IncompleteReadError):
-            await caller.answer()
+            await caller.read_response()
 
     play(scenario)
 
@@ -386,7 +386,7 @@
         entry = Entry(configuration(route(**STREAM)))
         await entry.add_server(streams(event(1), then="hang"))
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await caller.reader.readuntil(b"\r\n\r\n")
         async with asyncio.timeout(0.5):
             assert event(1) in await caller.reader.readuntil(b"\n\n")
@@ -398,8 +398,8 @@
     async def scenario():
         entry = Entry(configuration(route(prefix="/only/")))
         caller = await entry.caller()
-        await caller.ask(path=b"/else/x")
-        assert (await caller.answer())[0] == 404
+        await caller.send(path=b"/else/x")
+        assert (await caller.read_response())[0] == 404
 
     play(scenario)
 
@@ -422,13 +422,13 @@
         entry = Entry(configuration(route()))
         await entry.add_server(answers())
         caller = await entry.caller()
-        await caller.ask()
-        await caller.answer()
+        await caller.send()
+        await caller.read_response()
         entry.cluster_state.configuration = configuration(
             route(), number=2, limits=CallerLimits(max_header_bytes=100)
         )
-        await caller.ask(b"X-Long: " + b"x" * 200)
-        assert (await caller.answer())[0] == 431
+        await caller.send(b"X-Long: " + b"x" * 200)
+        assert (await caller.read_response())[0] == 431
 
     play(scenario)
 
@@ -438,8 +438,8 @@
         limits = CallerLimits(max_body_bytes=10)
         entry = Entry(configuration(route(kind=Kind.UNSAFE), limits=limits))
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"x" * 11)
-        assert (await caller.answer())[0] == 413
+        await caller.send(method=b"POST", body=b"x" * 11)
+        assert (await caller.read_response())[0] == 413
 
     play(scenario)
 
@@ -450,9 +450,9 @@
         await entry.add_server(*(answers(b"%d" % n) for n in range(3)))
         caller = await entry.caller()
         for n in range(3):
-            await caller.ask(name=b"req-%d" % n)
+            await caller.send(name=b"req-%d" % n)
         for n in range(3):
-            _, headers, body = await caller.answer()
+            _, headers, body = await caller.read_response()
             assert (headers[b"x-request-id"], body) == (b"req-%d" % n, b"%d" % n)
 
     play(scenario)
@@ -469,8 +469,8 @@
         entry.cluster_state.backends.get("i-0").in_progress = 5
         caller = await entry.caller()
         for n in range(3):
-            await caller.ask(name=b"req-%d" % n)
-            assert (await caller.answer())[0] == 200
+            await caller.send(name=b"req-%d" % n)
+            assert (await caller.read_response())[0] == 200
         failed = [fields for kind, fields in entry.log if kind == "attempt.failed"]
         assert len(failed) == 1
 
@@ -491,10 +491,10 @@
         caller = await entry.caller()
         # Leaves an idle connection to the other server, which can be used at once.
         first.in_progress = 5
-        await caller.ask(name=b"req-0")
-        await caller.answer()
+        await caller.send(name=b"req-0")
+        await caller.read_response()
         first.in_progress, second.in_progress = 0, 5
-        await caller.ask()
+        await caller.send()
         while not first_server.requests:
             await asyncio.sleep(0.001)
         caller.writer.transport.abort()
@@ -518,12 +518,12 @@
             entry.forwarder.clock() + 60
         )
         waiting = await entry.caller()
-        await waiting.ask(method=b"POST", body=b"prompt")
+        await waiting.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(1.0)
         for n in range(3):
             caller = await entry.caller()
-            await caller.ask(method=b"POST", body=b"prompt", name=b"later-%d" % n)
-            assert (await caller.answer())[0] == 200
+            await caller.send(method=b"POST", body=b"prompt", name=b"later-%d" % n)
+            assert (await caller.read_response())[0] == 200
         assert len(suspended.requests) == 1
 
     play(scenario)
@@ -544,7 +544,7 @@
         entry.cluster_state.backends.get("i-1").in_progress = 5
         callers = [await entry.caller() for _ in range(2)]
         for n, caller in enumerate(callers):
-            await caller.ask(method=b"POST", body=b"prompt", name=b"req-%d" % n)
+            await caller.send(method=b"POST", body=b"prompt", name=b"req-%d" % n)
         while len(suspended.requests) < 2:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.15 + NEXT_EVENT_HEDGE_SECONDS + 0.2)
@@ -568,8 +568,8 @@
         other = await entry.add_server(streams(event(2)), loaded=loaded(1))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        assert (await caller.answer())[2] == event(1) + event(2)
+        await caller.send(method=b"POST", body=b"prompt")
+        assert (await caller.read_response())[2] == event(1) + event(2)
         assert b"X-Request-Priority: %d\r\n" % Urgency.IN_TIME in other.requests[0]
 
     play(scenario)
@@ -595,7 +595,7 @@
         await entry.add_server(answers(b"y" * MAX_BUFFERED_BYTES))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask()
+        await caller.send()
         await caller.reader.readuntil(b"\r\n\r\n")
         with pytest.raises(asyncio.IncompleteReadError) as failure:
             await caller.reader.readexactly(2 * MAX_BUFFERED_BYTES)
--- a/tests/forward/test_late_requests.py
+++ b/tests/forward/test_late_requests.py
@@ -47,14 +47,14 @@
         other = await entry.add_server(streams(event(2)), loaded=loaded(1))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         report(entry, "i-0", serving=False)
         for _ in range(int(DRAIN_SECONDS / 0.1) - 2):
             await asyncio.sleep(0.1)
             report(entry, "i-0", serving=False)
         assert not other.requests
-        status, _, body = await caller.answer()
+        status, _, body = await caller.read_response()
         assert status == 200
         assert body.startswith(event(1)) and body.endswith(event(2))
         assert b"Last-Event-Id: 1" in other.requests[0]
@@ -71,12 +71,12 @@
         pieces = (event(1), *[b": \n\n"] * 30, event(2))
         await entry.add_server(streams(*pieces, pause=0.05), loaded=loaded(1))
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         for _ in range(12):
             report(entry, "i-0", serving=False)
             await asyncio.sleep(0.1)
-        status, _, body = await caller.answer()
+        status, _, body = await caller.read_response()
         assert (status, body) == (200, b"".join(pieces))
 
     play(scenario)
@@ -91,12 +91,12 @@
             answers(), hangs, hangs, hangs, hangs, slots=32, loaded=loaded(1)
         )
         first = await entry.caller()
-        await first.ask(b"X-Deadline-Ms: 6000", method=b"POST", body=b"prompt")
-        await first.answer()
+        await first.send(b"X-Deadline-Ms: 6000", method=b"POST", body=b"prompt")
+        await first.read_response()
         callers = [await entry.caller() for _ in range(3)]
         for n, caller in enumerate(callers):
             name = b"back-%d" % n
-            await caller.ask(
+            await caller.send(
                 b"X-Deadline-Ms: 3000", method=b"POST", body=b"prompt", name=name
             )
         await asyncio.sleep(0.3)
@@ -105,7 +105,7 @@
         assert len(server.requests) == 2
         assert b"X-Request-Priority: %d\r\n" % Urgency.LATE in server.requests[1]
         fresh = await entry.caller()
-        await fresh.ask(b"X-Deadline-Ms: 5500", method=b"POST", body=b"prompt")
+        await fresh.send(b"X-Deadline-Ms: 5500", method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         assert b"X-Request-Priority: %d\r\n" % Urgency.IN_TIME in server.requests[2]
 
@@ -119,12 +119,12 @@
             answers(), hangs, hangs, slots=32, loaded=loaded(1)
         )
         first = await entry.caller()
-        await first.ask(b"X-Deadline-Ms: 6000", method=b"POST", body=b"prompt")
-        await first.answer()
+        await first.send(b"X-Deadline-Ms: 6000", method=b"POST", body=b"prompt")
+        await first.read_response()
         callers = [await entry.caller() for _ in range(2)]
         for n, caller in enumerate(callers):
             name = b"back-%d" % n
-            await caller.ask(
+            await caller.send(
                 b"X-Deadline-Ms: 3000", method=b"POST", body=b"prompt", name=name
             )
             await asyncio.sleep(0.05)
@@ -148,10 +148,10 @@
         callers = [await entry.caller() for _ in range(3)]
         for n, caller in enumerate(callers):
             name = b"req-%d" % n
-            await caller.ask(method=b"POST", body=b"prompt", name=name)
+            await caller.send(method=b"POST", body=b"prompt", name=name)
             await asyncio.sleep(0.01)
         for caller in callers:
-            assert (await caller.answer())[2] == event(1) + event(2)
+            assert (await caller.read_response())[2] == event(1) + event(2)
         assert sum(len(server.requests) for server in served) == 3
 
     play(scenario)
@@ -169,8 +169,8 @@
         entry.cluster_state.backends.get("i-1").in_progress = 4
         entry.cluster_state.backends.get("i-2").in_progress = 6
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        assert (await caller.answer())[2] == event(1) + event(2)
+        await caller.send(method=b"POST", body=b"prompt")
+        assert (await caller.read_response())[2] == event(1) + event(2)
         assert len(far.requests) == 1
 
     play(scenario)
@@ -184,9 +184,9 @@
         entry.cluster_state.servers_known = False
         await entry.add_server(answers())
         caller = await entry.caller()
-        await caller.ask()
+        await caller.send()
         await asyncio.sleep(0.1)
         entry.cluster_state.servers_known = True
-        assert (await caller.answer())[0] == 200
+        assert (await caller.read_response())[0] == 200
 
     play(scenario)
--- a/tests/forward/test_unresponsive_servers.py
+++ b/tests/forward/test_unresponsive_servers.py
@@ -97,8 +97,8 @@
         await other(entry)
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        status, _, body = await caller.answer()
+        await caller.send(method=b"POST", body=b"prompt")
+        status, _, body = await caller.read_response()
         assert (status, body) == (200, event(1) + event(2))
         assert len(server.requests) == 1
 
@@ -115,8 +115,8 @@
         )
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        assert (await caller.answer())[2] == event(1) + event(2) + event(3)
+        await caller.send(method=b"POST", body=b"prompt")
+        assert (await caller.read_response())[2] == event(1) + event(2) + event(3)
         assert b"Last-Event-Id: 1" in other.requests[0]
         assert first.closed.is_set()
 
@@ -134,8 +134,8 @@
         other = await entry.add_server(hangs, hangs, loaded=loaded(1))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        assert (await caller.answer())[2] == event(1) + event(2) + event(3)
+        await caller.send(method=b"POST", body=b"prompt")
+        assert (await caller.read_response())[2] == event(1) + event(2) + event(3)
         await asyncio.wait_for(other.closed.wait(), 1.0)
 
     play(scenario)
@@ -149,7 +149,7 @@
         other = await entry.add_server(hangs, loaded=loaded(1))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         while not other.requests:
             await asyncio.sleep(0.01)
         caller.writer.close()
@@ -169,14 +169,14 @@
         await full(entry)
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         backend = entry.cluster_state.backends.get("i-0")
         for _ in range(int(DRAIN_SECONDS / 0.1) + 4):
             report = EngineReport(backend.listed.address, 1, False, 1, 0, 0.0, 1)
             backend.apply_report(report, asyncio.get_running_loop().time())
             await asyncio.sleep(0.1)
-        status, _, body = await caller.answer()
+        status, _, body = await caller.read_response()
         assert (status, body) == (200, b"".join(pieces))
 
     play(scenario)
@@ -195,8 +195,8 @@
         await other(entry)
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask()
-        status, _, body = await caller.answer()
+        await caller.send()
+        status, _, body = await caller.read_response()
         assert (status, body) == (200, b"late")
 
     play(scenario)
@@ -215,8 +215,8 @@
         await other(entry)
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        status, _, body = await caller.answer()
+        await caller.send(method=b"POST", body=b"prompt")
+        status, _, body = await caller.read_response()
         assert (status, body) == (200, event(1))
 
     play(scenario)
@@ -231,7 +231,7 @@
         other = await entry.add_server(hangs, loaded=loaded(2))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         while not other.requests:
             await asyncio.sleep(0.01)
         now = asyncio.get_running_loop().time()
@@ -303,8 +303,8 @@
         await entry.add_server(answers(b"", status))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask()
-        assert (await caller.answer())[0] == int(status[:3])
+        await caller.send()
+        assert (await caller.read_response())[0] == int(status[:3])
         assert not entry.dispatcher.outliers._records.get("i-1")
 
     play(scenario)
@@ -318,8 +318,8 @@
         await entry.add_server(answers(b"its own", b"500 Internal Server Error"))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask()
-        status, _, body = await caller.answer()
+        await caller.send()
+        status, _, body = await caller.read_response()
         assert (status, body) == (500, b"its own")
 
     play(scenario)
@@ -341,7 +341,7 @@
             record_ended=late.record_ended,
         )
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(FIRST_EVENT_HEDGE_SECONDS + 1.0)
         assert len(entry.servers[1].requests) == 0
         assert share._retries == 0
@@ -367,8 +367,8 @@
         await entry.add_server(after(0.4, answers(b"other")))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask()
-        assert (await caller.answer())[2] == b"other"
+        await caller.send()
+        assert (await caller.read_response())[2] == b"other"
         assert not entry.dispatcher.outliers._records.get("i-0")
 
     play(scenario)
@@ -383,11 +383,11 @@
         await entry.add_server(slow, loaded=loaded(1))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         (request,) = entry.forwarder.attempts.in_flight._requests
         request.response.request_failover()
-        assert (await caller.answer())[2] == event(1) + event(2) + event(3)
+        assert (await caller.read_response())[2] == event(1) + event(2) + event(3)
         assert entry.dispatcher.outliers._records.get("i-0")
 
     play(scenario)
@@ -418,10 +418,10 @@
         await entry.add_server(hangs, loaded=loaded(1))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.2)
         stop.send(b"x")
-        assert (await caller.answer())[2] == event(1) + event(2)
+        assert (await caller.read_response())[2] == event(1) + event(2)
         assert entry.dispatcher._retry_limit("s")._retries == 0
 
     play(scenario)
@@ -447,8 +447,8 @@
         await entry.add_server(script, loaded=loaded(1))
         keep_from(entry, "i-1")
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        assert (await caller.answer())[2] == event(1) + event(2)
+        await caller.send(method=b"POST", body=b"prompt")
+        assert (await caller.read_response())[2] == event(1) + event(2)
         assert len(entry.servers[1].requests) == 1
 
     play(scenario)
--- a/tests/forward/test_weights.py
+++ b/tests/forward/test_weights.py
@@ -53,8 +53,8 @@
         send_report(entry, "i-1", 1)
         for _ in range(3):
             caller = await entry.caller()
-            await caller.ask(method=b"POST", body=b"prompt")
-            assert (await caller.answer())[0] == 200
+            await caller.send(method=b"POST", body=b"prompt")
+            assert (await caller.read_response())[0] == 200
         assert (len(unattended.requests), len(attended.requests)) == (0, 3)
 
     play(scenario)
@@ -69,8 +69,8 @@
         declare_ago(entry, 2, VERSION_SECONDS - 0.8)
         send_report(entry, "i-0", 1, newest_version=1)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        assert (await caller.answer())[0] == 503
+        await caller.send(method=b"POST", body=b"prompt")
+        assert (await caller.read_response())[0] == 503
         assert server.requests == []
 
     play(scenario)
@@ -100,11 +100,11 @@
         declare_ago(entry, 2, VERSION_SECONDS - 0.5)
         send_report(entry, "i-0", 1)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         assert len(full.requests) == 1
         send_report(entry, "i-1", 2)
-        status, _, body = await caller.answer()
+        status, _, body = await caller.read_response()
         assert started == []
         assert (status, body) == (200, event(1) + event(2))
         assert b"X-Expect-Version: 2\r\n" in newer.requests[0]
@@ -124,11 +124,11 @@
         await entry.add_server(streams(event(1), event(2)))
         declare_ago(entry, 2, VERSION_SECONDS - 1.2)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(1.0)
         assert len(unattended.requests) == 1
         send_report(entry, "i-1", 2)
-        assert (await caller.answer())[::2] == (200, event(1) + event(2))
+        assert (await caller.read_response())[::2] == (200, event(1) + event(2))
         assert started == []
 
     play(scenario)
@@ -145,10 +145,10 @@
         declare_ago(entry, 2, VERSION_SECONDS - 0.5)
         send_report(entry, "i-0", 1)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         send_report(entry, "i-0", 2, serving=False, ready_in=0.8)
-        assert (await caller.answer())[::2] == (200, event(1))
+        assert (await caller.read_response())[::2] == (200, event(1))
 
     play(scenario)
 
@@ -179,9 +179,9 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(ServerPool, "_connect", connect_over_full_link)
             caller = await entry.caller()
-            await caller.ask(method=b"POST", body=b"prompt")
+            await caller.send(method=b"POST", body=b"prompt")
             async with asyncio.timeout(0.5):
-                assert (await caller.answer())[::2] == (200, event(1) + event(2))
+                assert (await caller.read_response())[::2] == (200, event(1) + event(2))
         assert unreachable.requests == []
 
     play(scenario)
@@ -197,14 +197,14 @@
         declare_ago(entry, 2, VERSION_SECONDS - 0.5)
         send_report(entry, "i-0", 1)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         backends = entry.cluster_state.backends
         listed = backends.get("i-0").listed
         backends.remove(["i-0"], asyncio.get_running_loop().time())
         backends.update(listed)
         send_report(entry, "i-0", 2, serving=False, ready_in=0.8)
-        assert (await caller.answer())[::2] == (200, event(1))
+        assert (await caller.read_response())[::2] == (200, event(1))
 
     play(scenario)
 
@@ -218,10 +218,10 @@
         await entry.add_server(queues(0.4, [], event(1)), loaded=loaded(2))
         declare_ago(entry, 2, VERSION_SECONDS + 5.0)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         entry.cluster_state.backends.remove(["i-0"], asyncio.get_running_loop().time())
-        assert (await caller.answer())[::2] == (200, event(1))
+        assert (await caller.read_response())[::2] == (200, event(1))
 
     play(scenario)
 
@@ -235,8 +235,8 @@
         declare_ago(entry, 2, VERSION_SECONDS + 0.5)
         declare_ago(entry, 3, VERSION_SECONDS - 1.5)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        assert (await caller.answer())[0] == 200
+        await caller.send(method=b"POST", body=b"prompt")
+        assert (await caller.read_response())[0] == 200
         assert b"X-Expect-Version: 3\r\n" in server.requests[0]
 
     play(scenario)
@@ -253,11 +253,11 @@
         declare_ago(entry, 2, VERSION_SECONDS - 0.5)
         send_report(entry, "i-0", 1)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         send_report(entry, "i-1", 2)
         async with asyncio.timeout(1.0):
-            assert (await caller.answer())[::2] == (200, event(1))
+            assert (await caller.read_response())[::2] == (200, event(1))
 
     play(scenario)
 
@@ -272,13 +272,13 @@
         declare_ago(entry, 2, VERSION_SECONDS - 0.3)
         send_report(entry, "i-0", 1)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         send_report(entry, "i-1", 1, serving=False, ready_in=0.6)
         await full.closed.wait()
         await asyncio.sleep(0.2)
         send_report(entry, "i-1", 2)
-        assert (await caller.answer())[::2] == (200, event(1))
+        assert (await caller.read_response())[::2] == (200, event(1))
 
     play(scenario)
 
@@ -296,9 +296,9 @@
         send_report(entry, "i-0", 1)
         callers = [await entry.caller() for _ in range(4)]
         for caller in callers:
-            await caller.ask(method=b"POST", body=b"prompt")
+            await caller.send(method=b"POST", body=b"prompt")
         for caller in callers:
-            assert (await caller.answer())[0] == 502
+            assert (await caller.read_response())[0] == 502
         why = [fields["why"] for kind, fields in entry.log if kind == "attempt.failed"]
         assert why == ["Recalled: i-0: version 1, 2 is due"] * 4
         now = asyncio.get_running_loop().time()
@@ -316,10 +316,10 @@
         declare_ago(entry, 2, VERSION_SECONDS - 0.5)
         send_report(entry, "i-0", 1)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
+        await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
         send_report(entry, "i-1", 2)
-        status, _, body = await caller.answer()
+        status, _, body = await caller.read_response()
         assert (status, body) == (200, event(1) + event(2) + event(3))
         assert newer.requests == []
 
@@ -335,8 +335,8 @@
         await entry.add_server(streams(event(1)), loaded=loaded(1))
         declare_ago(entry, 2, VERSION_SECONDS - 5.0)
         caller = await entry.caller()
-        await caller.ask(method=b"POST", body=b"prompt")
-        assert (await caller.answer())[0] == 200
+        await caller.send(method=b"POST", body=b"prompt")
+        assert (await caller.read_response())[0] == 200
         await asyncio.sleep(0)
         [fields] = [fields for kind, fields in entry.log if kind == "request.ended"]
         assert fields["weights"] == 1
--- a/tests/sessions/test_answers_session.py
+++ b/tests/sessions/test_answers_session.py
@@ -66,7 +66,7 @@
         Fleet(agents),
         Channels(HybridClock()),
         events,
-        lambda servers, ask, now, rng: servers[0],
+        lambda servers, request, now, rng: servers[0],
         random.Random(rng.random()),
         CrashSuspects(Quarantine(), wall_clock=events.wall),
         AttemptResolver(table),
--- a/tests/sessions/test_burst_session.py
+++ b/tests/sessions/test_burst_session.py
@@ -26,7 +26,7 @@
     def __init__(self, seed):
         self.rng = random.Random(seed)
         vms = [f"draft-{i}" for i in range(6)]
-        self.gates = {
+        self.admissions = {
             vm: AdmissionControl(CAPACITY, SERVICE_SECONDS, accepting=True)
             for vm in vms
         }
@@ -50,47 +50,47 @@
     def report(self, now):
         for view in self.views:
             for server in view:
-                gate = self.gates[server.vm]
-                server.reported = gate.running + len(gate.queue)
+                admission = self.admissions[server.vm]
+                server.reported = admission.running + len(admission.queue)
                 server.own_reported = server.in_progress
                 server.heard_at = now
         if now < SECONDS:
             self.schedule(now + REPORT_SECONDS, self.report)
 
     def arrive(self, now, arrival):
-        ask = RoutingRequest(prefix_digest(arrival.body.encode()), "here")
+        routing_request = RoutingRequest(prefix_digest(arrival.body.encode()), "here")
         view = self.views[arrival.region % 2]
-        server = choose_by_cost(view, ask, now, self.rng)
-        gate = self.gates[server.vm]
+        server = choose_by_cost(view, routing_request, now, self.rng)
+        admission = self.admissions[server.vm]
         kind = arrival.kind
         waiting = WaitingRequest(
             arrival.organisation, kind.priority, now, now + kind.deadline_seconds
         )
         self.arrival_of[waiting] = arrival
-        if refusal := admit(gate, waiting, now):
+        if refusal := admit(admission, waiting, now):
             self.outcomes[waiting] = ("refused at once", refusal.retry_after > 0)
             return
-        gate.queue.add(waiting)
+        admission.queue.add(waiting)
         self.sent_to[waiting] = server
         server.in_progress += 1
-        self.begin(now, gate)
+        self.begin(now, admission)
 
-    def begin(self, now, gate):
-        for waiting in gate.queue.expired(now, gate.service_seconds):
-            gate.queue.remove(waiting)
+    def begin(self, now, admission):
+        for waiting in admission.queue.expired(now, admission.service_seconds):
+            admission.queue.remove(waiting)
             self.sent_to[waiting].in_progress -= 1
-            retry_after = timeout_refusal(gate, waiting, now).retry_after
+            retry_after = timeout_refusal(admission, waiting, now).retry_after
             self.outcomes[waiting] = ("refused later", retry_after > 0)
-        while waiting := gate.start_next(now):
+        while waiting := admission.start_next(now):
             seconds = SERVICE_SECONDS * self.rng.uniform(0.8, 1.2)
-            self.schedule(now + seconds, self.end, gate, waiting, seconds)
+            self.schedule(now + seconds, self.end, admission, waiting, seconds)
 
-    def end(self, now, gate, waiting, seconds):
-        gate.release_slot(seconds)
+    def end(self, now, admission, waiting, seconds):
+        admission.release_slot(seconds)
         self.sent_to[waiting].in_progress -= 1
         in_time = now <= waiting.deadline
         self.outcomes[waiting] = ("answered" if in_time else "answered late", True)
-        self.begin(now, gate)
+        self.begin(now, admission)
 
 
 def test_burst(data_regression):
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -137,7 +137,7 @@
 
 
 def test_a_holder_that_resumes_after_the_deadline_releases_its_claim():
-    """An agent is paused after its claim took effect, until after the deadline.
+    """An agent is suspended after its claim took effect, until after the deadline.
 
     Its caller got "unknown" long before and ordered elsewhere by telephone. When the
     agent resumes, a late run would print the banner twice.
@@ -265,8 +265,8 @@
         takes = [asyncio.create_task(store.acquire(claim)) for claim in claims]
         await one.table.entered.wait()
         one.table.hold.set()
-        verdicts = await asyncio.gather(*takes)
-        assert {verdict.action for verdict in verdicts} == {"run"}
+        decisions = await asyncio.gather(*takes)
+        assert {decision.action for decision in decisions} == {"run"}
         assert one.table.transactions <= store.batch.max_senders + 1
         assert len(one.table.rows) == 20
 
--- a/tests/test_claims_stateful.py
+++ b/tests/test_claims_stateful.py
@@ -21,8 +21,8 @@
 
 def takes_running_claims(wanted, found):
     """Broken: takes a running claim from its holder, as if it had expired."""
-    verdict = decide(wanted, found)
-    return Decision("run", found) if verdict.action == "ask-holder" else verdict
+    decision = decide(wanted, found)
+    return Decision("run", found) if decision.action == "ask-holder" else decision
 
 
 def reruns_done_calls(wanted, found):
@@ -58,14 +58,14 @@
         claim = Claim("org-1", "k1", "digest", f"a{self.attempts}", "vm")
         self.table.plan = list(words)
         try:
-            verdict = await self.store.acquire(claim)
+            decision = await self.store.acquire(claim)
         except PlatformUnavailable as exc:
             self.table.plan = []
             if exc.maybe_applied and not dies:
                 await self._release(claim)
             return
         self.table.plan = []
-        if verdict.action != "run" or dies:
+        if decision.action != "run" or dies:
             self.stuck = dies
             return
         if refused:
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("broken", [takes_running_claims, reruns_done_calls])
-def test_the_machine_catches_a_broken_verdict(broken):
+def test_the_machine_catches_a_broken_decision(broken):
     machine = type("Broken", (ClaimsMachine,), {"decide": staticmethod(broken)})
     with pytest.raises(AssertionError):
         run_state_machine_as_test(machine, settings=BROKEN)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -19,14 +19,14 @@
 
 
 @pytest.fixture
-def gate():
+def admission():
     return AdmissionControl(capacity=8, service_seconds=1.0, accepting=True)
 
 
-def fill(gate, count, **fields):
+def fill(admission, count, **fields):
     for _ in range(count):
-        gate.queue.add(waiting(**fields))
-        gate.start_next(0.0)
+        admission.queue.add(waiting(**fields))
+        admission.start_next(0.0)
 
 
 def test_a_dispute_starts_before_greetings_that_arrived_earlier():
@@ -83,64 +83,70 @@
     assert waiting(priority=2).current_class(1e6) == 1
 
 
-def test_slots_are_reserved_for_the_next_dispute(gate):
+def test_slots_are_reserved_for_the_next_dispute(admission):
     # If greetings use every slot, the next dispute waits until one of them completes.
-    assert admit(gate, waiting(priority=0), 0.0) is None
-    fill(gate, 20, priority=2)
-    assert gate.running == 6
-    gate.queue.add(waiting(priority=0))
-    assert gate.start_next(0.0).priority == 0
-
-
-def test_no_slot_is_reserved_if_no_urgent_requests_arrive(gate):
-    gate.reserve_until = RESERVE_SECONDS
-    fill(gate, 20, priority=2)
-    assert gate.running == 6
-    while gate.start_next(RESERVE_SECONDS):
+    assert admit(admission, waiting(priority=0), 0.0) is None
+    fill(admission, 20, priority=2)
+    assert admission.running == 6
+    admission.queue.add(waiting(priority=0))
+    assert admission.start_next(0.0).priority == 0
+
+
+def test_no_slot_is_reserved_if_no_urgent_requests_arrive(admission):
+    admission.reserve_until = RESERVE_SECONDS
+    fill(admission, 20, priority=2)
+    assert admission.running == 6
+    while admission.start_next(RESERVE_SECONDS):
         pass
-    assert gate.running == 8
+    assert admission.running == 8
 
 
-def test_a_request_that_cannot_be_in_time_is_refused_immediately(gate):
+def test_a_request_that_cannot_be_in_time_is_refused_immediately(admission):
     # Otherwise its caller would wait until the deadline, and be refused then.
-    fill(gate, 8 + 40)
-    refusal = admit(gate, waiting(deadline=4.0), 0.0)
+    fill(admission, 8 + 40)
+    refusal = admit(admission, waiting(deadline=4.0), 0.0)
     assert refusal.failure.kind == "ShareUsed"
     assert refusal.retry_after > 0
 
 
-def test_a_refusal_indicates_whether_to_retry_at_another_server(gate):
+def test_a_refusal_indicates_whether_to_retry_at_another_server(admission):
     # All retries are charged to one small budget. If a large organisation with queues
-    # at all servers spends it, nothing is left for organisations that have room
+    # at all servers spends it, nothing is left for organisations that have capacity
     # elsewhere.
-    fill(gate, 8 + 60, organisation="large")
-    assert admit(gate, waiting("large", deadline=2.0), 0.0).failure.kind == "ShareUsed"
-    assert admit(gate, waiting("small", deadline=1.1), 0.0).failure.kind == "Overloaded"
+    fill(admission, 8 + 60, organisation="large")
+    assert (
+        admit(admission, waiting("large", deadline=2.0), 0.0).failure.kind
+        == "ShareUsed"
+    )
+    assert (
+        admit(admission, waiting("small", deadline=1.1), 0.0).failure.kind
+        == "Overloaded"
+    )
 
 
-def test_a_small_organisation_is_admitted_where_a_large_one_is_refused(gate):
+def test_a_small_organisation_is_admitted_where_a_large_one_is_refused(admission):
     # With one queue for all organisations, all of them would be refused equally often,
     # and the one that sends the most requests would get nearly all slots.
-    fill(gate, 8 + 60, organisation="large")
-    assert admit(gate, waiting("large", deadline=5.0), 0.0)
-    assert admit(gate, waiting("small", deadline=5.0), 0.0) is None
+    fill(admission, 8 + 60, organisation="large")
+    assert admit(admission, waiting("large", deadline=5.0), 0.0)
+    assert admit(admission, waiting("small", deadline=5.0), 0.0) is None
 
 
-def test_an_idle_server_admits_requests_though_it_was_slow(gate):
+def test_an_idle_server_admits_requests_though_it_was_slow(admission):
     # One stalled response makes the smoothed duration longer than any deadline. If all
     # requests were refused for that, no request could correct the duration.
-    gate.service_seconds = 60.0
-    assert admit(gate, waiting(deadline=5.0), 0.0) is None
+    admission.service_seconds = 60.0
+    assert admit(admission, waiting(deadline=5.0), 0.0) is None
 
 
-def test_the_expected_wait_includes_more_urgent_requests(gate):
-    fill(gate, 8 + 8, priority=2)
-    before = gate.expected_wait(waiting(priority=2), 0.0)
+def test_the_expected_wait_includes_more_urgent_requests(admission):
+    fill(admission, 8 + 8, priority=2)
+    before = admission.expected_wait(waiting(priority=2), 0.0)
     for _ in range(20):
-        gate.running -= 1
-        gate.queue.add(waiting(priority=1))
-        gate.start_next(0.0)
-    assert gate.expected_wait(waiting(priority=2), 0.0) > 2 * before
+        admission.running -= 1
+        admission.queue.add(waiting(priority=1))
+        admission.start_next(0.0)
+    assert admission.expected_wait(waiting(priority=2), 0.0) > 2 * before
 
 
 @pytest.mark.parametrize("slots", [2, 4, 8])
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -36,11 +36,11 @@
     ]
 
 
-def count_requests(choose, deployed, ask, rng, requests):
+def count_requests(choose, deployed, request, rng, requests):
     """Return requests by VM, while none of them ends and no report arrives."""
     counts = Counter()
     for _ in range(requests):
-        server = choose(deployed, ask, NOW, rng)
+        server = choose(deployed, request, NOW, rng)
         server.in_progress += 1
         counts[server.vm] += 1
     return counts
@@ -65,11 +65,11 @@
 
 def test_a_prefix_stays_at_its_home_server_until_that_is_full(rng):
     deployed = servers(6, service_time=0.6)
-    ask = RoutingRequest("prefix", "here")
+    request = RoutingRequest("prefix", "here")
     prefix_home = home_server("prefix", deployed)
-    assert choose_by_cost(deployed, ask, NOW, rng) is prefix_home
+    assert choose_by_cost(deployed, request, NOW, rng) is prefix_home
     prefix_home.prefixes = ["prefix"]
-    counts = count_requests(choose_by_cost, deployed, ask, rng, 120)
+    counts = count_requests(choose_by_cost, deployed, request, rng, 120)
     # More than an even share, but far fewer than all requests.
     assert 20 < counts[prefix_home.vm] < 60
 
@@ -89,14 +89,14 @@
         server.service_time = 0.6
     for server in local:
         server.reported = 1
-    ask = RoutingRequest(region="here")
+    request = RoutingRequest(region="here")
     assert all(
-        choose_by_cost(local + remote, ask, NOW, rng) in local for _ in range(30)
+        choose_by_cost(local + remote, request, NOW, rng) in local for _ in range(30)
     )
     for server in local:
         server.reported = 8
     assert all(
-        choose_by_cost(local + remote, ask, NOW, rng) in remote for _ in range(30)
+        choose_by_cost(local + remote, request, NOW, rng) in remote for _ in range(30)
     )
 
 
--- a/tests/test_server_clients.py
+++ b/tests/test_server_clients.py
@@ -32,9 +32,9 @@
         self.status = status
 
     def routes(self):
-        return [web.post("/{path:.*}", self.answer)]
+        return [web.post("/{path:.*}", self.respond)]
 
-    async def answer(self, req):
+    async def respond(self, req):
         if self.status == 0:
             req.transport.abort()
         if self.status == 1:
@@ -42,11 +42,11 @@
         return web.Response(status=self.status or 500)
 
 
-async def ask(standin, ask):
+async def run_against(standin, call):
     address, runner = await serve_standin(standin)
     async with aiohttp.ClientSession() as session:
         try:
-            return await ask(HttpClient(address, 0.3, session))
+            return await call(HttpClient(address, 0.3, session))
         finally:
             await runner.cleanup()
 
@@ -67,7 +67,7 @@
         await PlainServiceClient(http).call("a1", "print", "k1", b"20 banners", 0.3)
 
     with pytest.raises(failure):
-        asyncio.run(ask(StatusServer(status), call))
+        asyncio.run(run_against(StatusServer(status), call))
 
 
 @pytest.mark.parametrize(
@@ -81,7 +81,7 @@
         await http.call("POST", "/v1/transact", b"{}")
 
     with pytest.raises(PlatformUnavailable) as caught:
-        asyncio.run(ask(StatusServer(status), write))
+        asyncio.run(run_against(StatusServer(status), write))
     assert caught.value.maybe_applied == maybe_applied
 
 
@@ -106,7 +106,7 @@
 
 
 def test_a_streamed_response_is_in_progress_until_its_end():
-    """An entry is asked to shut down while it streams a response.
+    """An entry is stopped while it streams a response.
 
     The count in sanic's hooks dropped to 0 when the response had started, so the entry
     exited at once and the caller received a truncated response.
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -64,7 +64,7 @@
     assert refusal.retry_after > 0
 
 
-def test_requests_wait_while_the_gate_is_closed_and_run_when_it_opens(slots):
+def test_requests_wait_while_none_is_accepted_and_run_when_they_are(slots):
     async def session():
         slots.gate.accepting = False
         waiting = asyncio.create_task(slots.acquire(attempt("first")))
--- a/tests/two_builds.py
+++ b/tests/two_builds.py
@@ -242,14 +242,14 @@
         ]
         return sorted(rows, key=lambda row: row["key" if after < 0 else "ver"])
 
-    def _answer(self, rows):
+    def _respond(self, rows):
         now = asyncio.get_running_loop().time() * 1000
         return web.json_response(
             {"rows": rows, "ver": self.version, "has-more": False, "now-ms": now}
         )
 
     async def _get(self, req):
-        return self._answer(self._shown(req.query["table"], -1))
+        return self._respond(self._shown(req.query["table"], -1))
 
     async def _feed(self, req):
         loop = asyncio.get_running_loop()
@@ -259,7 +259,7 @@
             rows = self._shown(req.query["table"], int(req.query["after"]))
             left = end - loop.time()
             if rows or left <= 0:
-                return self._answer(rows)
+                return self._respond(rows)
             try:
                 await asyncio.wait_for(changed.wait(), left)
             except TimeoutError:
@@ -437,15 +437,15 @@
     }
 
 
-class Node:
+class PlatformProcess:
     """One process on the platform, of either build, over one settings file."""
 
     def __init__(self, folder, vm, ip, role, store, app=""):
         self.vm, self.ip, self.role = vm, ip, role
         self.log = folder / f"{vm}.log"
         self.file = folder / f"{vm}.json"
-        self.front = f"{ip}:18005"
-        listen = {"front": self.front, "ready": f"{ip}:18002"}
+        self.caller_address = f"{ip}:18005"
+        listen = {"front": self.caller_address, "ready": f"{ip}:18002"}
         settings = {
             "node": vm,
             "role": role,
@@ -490,7 +490,7 @@
 
     def __init__(self, folder):
         self.folder, self.store = folder, Store()
-        self.servers, self.nodes, self.runners = {}, {}, []
+        self.servers, self.processes, self.runners = {}, {}, []
         self.http = aiohttp.ClientSession()
         self.sent = 0
 
@@ -503,14 +503,18 @@
         self.origin = await self._serve(origin_app())
         for n, vm in enumerate(("entry-1", "entry-2")):
             store = await self._serve(self.store.app(vm))
-            self.nodes[vm] = Node(self.folder, vm, f"127.0.0.{111 + n}", "entry", store)
+            self.processes[vm] = PlatformProcess(
+                self.folder, vm, f"127.0.0.{111 + n}", "entry", store
+            )
         for n, vm in enumerate(("agent-1", "agent-2")):
             server = ModelServer(f"i-{n}", 1_700_000_000_000 + n)
             ip = f"127.0.0.{121 + n}"
             address = await self._serve(server.app(), ip)
             self.servers[vm] = (server, address)
             store = await self._serve(self.store.app(vm))
-            self.nodes[vm] = Node(self.folder, vm, ip, "agent", store, address)
+            self.processes[vm] = PlatformProcess(
+                self.folder, vm, ip, "agent", store, address
+            )
 
     async def heartbeats(self):
         """Write the servers' rows as they themselves would."""
@@ -554,7 +558,7 @@
             "X-Token-Usage": "100,10",
             "Authorization": "Token key-1",
         }
-        url = f"http://{self.nodes[entry].front}{prefix}x"
+        url = f"http://{self.processes[entry].caller_address}{prefix}x"
         try:
             async with self.http.post(url, data=b"body", headers=headers) as answer:
                 await answer.read()
@@ -589,7 +593,7 @@
         return [orjson.loads(value) for value, _ in table.values()]
 
     async def close(self):
-        codes = {vm: await node.stop() for vm, node in self.nodes.items()}
+        codes = {vm: await process.stop() for vm, process in self.processes.items()}
         await self.http.close()
         for runner in self.runners:
             await runner.cleanup()
@@ -597,15 +601,15 @@
 
 
 async def play_platform(folder, builds):
-    """Configurations, versions and requests over nodes of both builds."""
+    """Configurations, versions and requests over processes of both builds."""
     site = Site(folder)
     await site.prepare()
     beats = asyncio.create_task(site.heartbeats())
     site.configure(1, ["/a/"])
     site.declare(1)
     try:
-        for vm, node in site.nodes.items():
-            await node.start(builds[vm])
+        for vm, process in site.processes.items():
+            await process.start(builds[vm])
         await site.loaded(1)
         await site.serves("/a/", 1)
         # A change of the configuration and a version while both builds are peers.
@@ -623,10 +627,10 @@
         # rows and staged chunks.
         old, new = sorted(set(builds.values()), key=list(builds.values()).index)
         puts = {vm: s.staged_by_put for vm, (s, _) in site.servers.items()}
-        for vm, node in site.nodes.items():
-            code = await node.stop()
+        for vm, process in site.processes.items():
+            code = await process.stop()
             expect(code == 0, f"{vm} ended with {code}")
-            await node.start(new if builds[vm] == old else old)
+            await process.start(new if builds[vm] == old else old)
         await site.serves("/c4/", 2)
         await site.refuses("/c3/")
         again = {vm: s.staged_by_put for vm, (s, _) in site.servers.items()}
@@ -639,8 +643,8 @@
     finally:
         beats.cancel()
         codes = await site.close()
-        for vm, node in site.nodes.items():
-            check_events(vm, node.log.read_bytes())
+        for vm, process in site.processes.items():
+            check_events(vm, process.log.read_bytes())
     expect(not any(codes.values()), f"exit codes {codes}")
     tables = sorted({table for table, _ in site.store.rows})
     return f"{site.sent} requests, tables {tables}, exit codes all 0"
