--- a/tests/agent_entry_fakes.py
+++ b/tests/agent_entry_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the interfaces of the agent and the entry, for tests of answers."""
+"""Fakes of the interfaces of the agent and the entry, for tests of responses."""
 
 import asyncio
 import copy
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Every caller gets the complete answer to its own request, once."""
+"""Every caller gets the complete response to its own request, once."""
 
 import asyncio
 
@@ -171,7 +171,7 @@
 
 
 def test_a_slow_reader_causes_backpressure_and_loses_nothing():
-    """A caller does not read a long answer for a while.
+    """A caller does not read a long response for a while.
 
     The engine waits instead of filling the agent's memory, and the caller then gets
     every word.
@@ -200,10 +200,10 @@
 
 
 def test_events_of_ended_attempts_are_limited(monkeypatch):
-    """Many long answers end fast, and each is kept for a minute for a resume.
+    """Many long responses end fast, and each is kept for a minute for a resume.
 
     Above the limit the oldest are dropped. A reader that resumes one of them gets
-    "unknown" and never a part of the answer as if it were complete.
+    "unknown" and never a part of the response as if it were complete.
     """
     monkeypatch.setattr(attempts, "MAX_ENDED_BYTES", 2000)
 
