--- a/packages/wasabideck_lab/wasabideck_lab/capacity.py
+++ b/packages/wasabideck_lab/wasabideck_lab/capacity.py
@@ -58,7 +58,7 @@
 class _SimulatedPeers:
     """Many addresses at which this process answers as agents or entries."""
 
-    spread: TicketReplication
+    ticket_replication: TicketReplication
     servers: list[Server] = field(factory=list)
 
     async def open(self, names: Iterable[str]) -> dict[str, str]:
@@ -67,7 +67,7 @@
 
     async def _listen(self, name: str) -> str:
         status = pb.StatusReply(vm=name, serving=True, service="drafting", capacity=8)
-        server = Server([PeersService(self.spread, lambda req: status)])
+        server = Server([PeersService(self.ticket_replication, lambda req: status)])
         await server.start("127.0.0.1", 0)
         self.servers.append(server)
         host, port = server._server.sockets[0].getsockname()
@@ -81,10 +81,10 @@
 
 def _simulated_peers() -> _SimulatedPeers:
     events = Events("ports", HybridClock(), time.time)
-    spread = TicketReplication(
+    ticket_replication = TicketReplication(
         "ports", events, startup_knowledge=StartupKnowledge(sufficient=True)
     )
-    return _SimulatedPeers(spread)
+    return _SimulatedPeers(ticket_replication)
 
 
 async def entry_by_servers() -> list[dict]:
--- a/packages/wasabideck_lab/wasabideck_lab/distribute_command.py
+++ b/packages/wasabideck_lab/wasabideck_lab/distribute_command.py
@@ -33,7 +33,7 @@
     Parameters
     ----------
     replicas, regions : int
-        Number of agents, and number of regions that the agents are spread over.
+        Number of agents, and number of regions that they are distributed over.
     profile : str
         ``time`` or ``origin-bytes``.
     policy : str
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -49,9 +49,9 @@
     @commands
     class Group:
         @staticmethod
-        def told(text: str = "nothing") -> None:
+        def show(text: str = "nothing") -> None:
             """Print a text."""
             print(text)
 
-    run_commands(Group(), "group", ["told", "--text", "well"])
+    run_commands(Group(), "group", ["show", "--text", "well"])
     assert capsys.readouterr().out == "well\n"
