--- a/packages/wasabideck_lab/wasabideck_lab/capacity.py
+++ b/packages/wasabideck_lab/wasabideck_lab/capacity.py
@@ -58,7 +58,7 @@
 class _SimulatedPeers:
     """Many addresses at which this process answers as agents or entries."""
 
-    spread: TicketReplication
+    ticket_replication: TicketReplication
     servers: list[Server] = field(factory=list)
 
     async def open(self, names: Iterable[str]) -> dict[str, str]:
@@ -67,7 +67,7 @@
 
     async def _listen(self, name: str) -> str:
         status = pb.StatusReply(vm=name, serving=True, service="drafting", capacity=8)
-        server = Server([PeersService(self.spread, lambda req: status)])
+        server = Server([PeersService(self.ticket_replication, lambda req: status)])
         await server.start("127.0.0.1", 0)
         self.servers.append(server)
         host, port = server._server.sockets[0].getsockname()
@@ -81,10 +81,10 @@
 
 def _simulated_peers() -> _SimulatedPeers:
     events = Events("ports", HybridClock(), time.time)
-    spread = TicketReplication(
+    ticket_replication = TicketReplication(
         "ports", events, startup_knowledge=StartupKnowledge(sufficient=True)
     )
-    return _SimulatedPeers(spread)
+    return _SimulatedPeers(ticket_replication)
 
 
 async def entry_by_servers() -> list[dict]:
@@ -182,10 +182,10 @@
     rates = (20, 40, 80, 160)
     entry_cpu, agent_cpu = [], []
     with tempfile.TemporaryDirectory() as folder:
-        lab, stage = await _small_fleet(Path(folder))
+        lab, entries = await _small_fleet(Path(folder))
         try:
             for rate in rates:
-                traffic = Traffic(stage, random.Random(rate), rate)
+                traffic = Traffic(entries, random.Random(rate), rate)
                 running = asyncio.create_task(traffic.run(int(rate * MEASURED_SECONDS)))
                 usages = await asyncio.gather(
                     *(
@@ -223,12 +223,12 @@
     tokens, rate = (8, 32, 64, 128), 15.0
     entry_cpu, agent_cpu, token_rates = [], [], []
     with tempfile.TemporaryDirectory() as folder:
-        lab, stage = await _small_fleet(Path(folder))
+        lab, entries = await _small_fleet(Path(folder))
         try:
             for count in tokens:
                 for engine in lab.engines.values():
                     engine.tokens_per_response = count
-                traffic = Traffic(stage, random.Random(count), rate)
+                traffic = Traffic(entries, random.Random(count), rate)
                 running = asyncio.create_task(traffic.run(int(rate * MEASURED_SECONDS)))
                 usages = await asyncio.gather(
                     *(
