--- a/tests/test_outside_names.py
+++ b/tests/test_outside_names.py
@@ -85,10 +85,17 @@
             parts += [node.returns] if node.returns else []
         elif isinstance(node, ast.AnnAssign):
             parts = [node.annotation]
+        elif isinstance(node, ast.Subscript) and _is_callable_type(node):
+            parts = [node]
         found.update(id(inner) for part in parts for inner in ast.walk(part))
     return found
 
 
+def _is_callable_type(node):
+    """Whether it is a type alias, whose strings are names of classes."""
+    return getattr(node.value, "id", "") == "Callable"
+
+
 def _annotated(arg):
     return isinstance(arg, ast.arg) and arg.annotation is not None
 
