--- a/tests/forward/conftest.py
+++ b/tests/forward/conftest.py
@@ -119,7 +119,7 @@
     return answers(b"", status, b"X-Not-Executed: 1\r\n")
 
 
-def streams(*parts, then="end", pause=0.0):
+def streams(*parts, then="end", interval=0.0):
     """Return a script that writes the parts of a stream as HTTP chunks.
 
     After that it ends the stream ("end"), closes the connection ("cut"), resets it
@@ -134,7 +134,7 @@
         )
         for part in parts:
             writer.write(b"%x\r\n%s\r\n" % (len(part), part))
-            await asyncio.sleep(pause)
+            await asyncio.sleep(interval)
         if then == "end":
             writer.write(b"0\r\n\r\n")
         elif then == "cut":
--- a/tests/forward/test_endless_bytes.py
+++ b/tests/forward/test_endless_bytes.py
@@ -38,8 +38,8 @@
 class EndlessScript:
     """Script that sends a start, then the same bytes until the connection closes."""
 
-    def __init__(self, start, repeated, pause=0.0):
-        self.start, self.repeated, self.pause = start, repeated, pause
+    def __init__(self, start, repeated, interval=0.0):
+        self.start, self.repeated, self.interval = start, repeated, interval
         self.sent = 0
         self.closed = asyncio.Event()
 
@@ -51,7 +51,7 @@
                 writer.write(self.repeated)
                 self.sent += len(self.repeated)
                 await writer.drain()
-                await asyncio.sleep(self.pause)
+                await asyncio.sleep(self.interval)
         finally:
             self.closed.set()
 
@@ -124,7 +124,7 @@
 def test_a_server_that_sends_its_head_byte_by_byte_counts_as_unresponsive(play):
     # Guards against a server that sends a head so slowly that no byte limit is reached,
     # and keeps callers waiting until their timeout.
-    bad = EndlessScript(HEAD + b"X-Pad: ", b"x", pause=0.02)
+    bad = EndlessScript(HEAD + b"X-Pad: ", b"x", interval=0.02)
 
     async def scenario():
         entry = Entry(configuration(route(timeout_seconds=6.0)))
--- a/tests/forward/test_forwarding.py
+++ b/tests/forward/test_forwarding.py
@@ -207,7 +207,7 @@
         backends = entry.cluster_state.backends
         backends.get("i-1").in_progress = 5
 
-        async def take_and_leave(backend, idempotent, timeout):
+        async def acquire_then_drop_server(backend, idempotent, timeout):
             conn = await entry.pool.acquire(backend, idempotent, timeout)
             if backend.server == "i-0" and leaves == "is gone":
                 backends.remove(["i-0"], asyncio.get_running_loop().time())
@@ -215,7 +215,9 @@
                 backends.update(evolve(backend.listed, leaving=True))
             return conn
 
-        pool = SimpleNamespace(acquire=take_and_leave, release=entry.pool.release)
+        pool = SimpleNamespace(
+            acquire=acquire_then_drop_server, release=entry.pool.release
+        )
         entry.forwarder.attempts.pool = pool
         caller = await entry.caller()
         await caller.send(method=b"POST", body=b"order")
@@ -341,7 +343,7 @@
     async def scenario():
         entry = Entry(configuration(route(**STREAM)))
         await entry.add_server(
-            streams(event(1), event(2), event(3)[:5], then="reset", pause=0.02)
+            streams(event(1), event(2), event(3)[:5], then="reset", interval=0.02)
         )
         other = await entry.add_server(streams(event(3), event(4)))
         entry.cluster_state.backends.get("i-1").in_progress = 5
@@ -358,7 +360,7 @@
 def test_a_stream_that_starts_over_is_not_joined_to_the_first(play):
     async def scenario():
         entry = Entry(configuration(route(**STREAM)))
-        await entry.add_server(streams(event(1), event(2), then="reset", pause=0.02))
+        await entry.add_server(streams(event(1), event(2), then="reset", interval=0.02))
         await entry.add_server(streams(event(1), event(2), event(3)))
         entry.cluster_state.backends.get("i-1").in_progress = 5
         caller = await entry.caller()
@@ -372,7 +374,7 @@
 def test_a_stream_that_cannot_be_resumed_does_not_look_complete(play):
     async def scenario():
         entry = Entry(configuration(route(kind=Kind.STREAM)))
-        await entry.add_server(streams(event(1), then="cut", pause=0.02))
+        await entry.add_server(streams(event(1), then="cut", interval=0.02))
         caller = await entry.caller()
         await caller.send(method=b"POST", body=b"prompt")
         with pytest.raises(asyncio.IncompleteReadError):
@@ -537,7 +539,7 @@
         entry = Entry(configuration(route(**STREAM, timeout_seconds=5.0)))
         suspended = await entry.add_server(
             streams(event(1), then="hang"),
-            streams(event(1), event(2), then="hang", pause=0.15),
+            streams(event(1), event(2), then="hang", interval=0.15),
         )
         others = [streams(event(n)) for n in (2, 3)]
         other = await entry.add_server(*others)
@@ -563,7 +565,7 @@
             configuration(route(**STREAM, target_seconds=0.13), engine=ENGINE)
         )
         await entry.add_server(
-            streams(event(1), then="reset", pause=0.2), loaded=loaded(1)
+            streams(event(1), then="reset", interval=0.2), loaded=loaded(1)
         )
         other = await entry.add_server(streams(event(2)), loaded=loaded(1))
         entry.cluster_state.backends.get("i-1").in_progress = 5
--- a/tests/forward/test_late_requests.py
+++ b/tests/forward/test_late_requests.py
@@ -41,7 +41,7 @@
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         draining = await entry.add_server(
-            streams(event(1), *[b": \n\n"] * 60, event(2), pause=0.05),
+            streams(event(1), *[b": \n\n"] * 60, event(2), interval=0.05),
             loaded=loaded(1),
         )
         other = await entry.add_server(streams(event(2)), loaded=loaded(1))
@@ -68,8 +68,8 @@
     # end early.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        pieces = (event(1), *[b": \n\n"] * 30, event(2))
-        await entry.add_server(streams(*pieces, pause=0.05), loaded=loaded(1))
+        parts = (event(1), *[b": \n\n"] * 30, event(2))
+        await entry.add_server(streams(*parts, interval=0.05), loaded=loaded(1))
         caller = await entry.caller()
         await caller.send(method=b"POST", body=b"prompt")
         await asyncio.sleep(0.1)
@@ -77,7 +77,7 @@
             report(entry, "i-0", serving=False)
             await asyncio.sleep(0.1)
         status, _, body = await caller.read_response()
-        assert (status, body) == (200, b"".join(pieces))
+        assert (status, body) == (200, b"".join(parts))
 
     play(scenario)
 
@@ -142,8 +142,8 @@
     # 0.7 s. The next server, behind the same link, was unreachable, and they ended.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        pause = NEXT_EVENT_HEDGE_SECONDS + 0.4
-        slow = streams(event(1), event(2), pause=pause)
+        interval = NEXT_EVENT_HEDGE_SECONDS + 0.4
+        slow = streams(event(1), event(2), interval=interval)
         served = [await entry.add_server(slow, loaded=loaded(1)) for _ in range(3)]
         callers = [await entry.caller() for _ in range(3)]
         for n, caller in enumerate(callers):
@@ -164,14 +164,14 @@
         entry = Entry(configuration(route(**STREAM, max_attempts=2), engine=ENGINE))
         await entry.add_server(streams(event(1), then="reset"), loaded=loaded(1))
         unreachable = await entry.add_server(hangs, loaded=loaded(1))
-        far = await entry.add_server(streams(event(2)), loaded=loaded(1))
+        remote = await entry.add_server(streams(event(2)), loaded=loaded(1))
         unreachable.listener.close()
         entry.cluster_state.backends.get("i-1").in_progress = 4
         entry.cluster_state.backends.get("i-2").in_progress = 6
         caller = await entry.caller()
         await caller.send(method=b"POST", body=b"prompt")
         assert (await caller.read_response())[2] == event(1) + event(2)
-        assert len(far.requests) == 1
+        assert len(remote.requests) == 1
 
     play(scenario)
 
--- a/tests/forward/test_unresponsive_servers.py
+++ b/tests/forward/test_unresponsive_servers.py
@@ -92,7 +92,7 @@
     # way.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        slow = streams(event(1), event(2), pause=UNRESPONSIVE_SECONDS)
+        slow = streams(event(1), event(2), interval=UNRESPONSIVE_SECONDS)
         server = await unresponsive_server(entry, slow)
         await other(entry)
         keep_from(entry, "i-1")
@@ -111,7 +111,7 @@
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         first = await unresponsive_server(entry, streams(event(1), then="hang"))
         other = await entry.add_server(
-            streams(event(2), event(3), pause=0.3), loaded=loaded(1)
+            streams(event(2), event(3), interval=0.3), loaded=loaded(1)
         )
         keep_from(entry, "i-1")
         caller = await entry.caller()
@@ -128,7 +128,7 @@
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
         slow = streams(
-            event(1), event(2), event(3), pause=NEXT_EVENT_HEDGE_SECONDS + 0.3
+            event(1), event(2), event(3), interval=NEXT_EVENT_HEDGE_SECONDS + 0.3
         )
         await unresponsive_server(entry, slow)
         other = await entry.add_server(hangs, hangs, loaded=loaded(1))
@@ -164,8 +164,8 @@
     # Guards against cutting off a caller by leaving a draining server too early.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        pieces = (event(1), *[b": \n\n"] * 40, event(2))
-        await unresponsive_server(entry, streams(*pieces, pause=0.05))
+        parts = (event(1), *[b": \n\n"] * 40, event(2))
+        await unresponsive_server(entry, streams(*parts, interval=0.05))
         await full(entry)
         keep_from(entry, "i-1")
         caller = await entry.caller()
@@ -177,7 +177,7 @@
             backend.apply_report(report, asyncio.get_running_loop().time())
             await asyncio.sleep(0.1)
         status, _, body = await caller.read_response()
-        assert (status, body) == (200, b"".join(pieces))
+        assert (status, body) == (200, b"".join(parts))
 
     play(scenario)
 
@@ -375,10 +375,10 @@
 
 
 def test_a_draining_server_that_aborts_a_stream_has_failed(play):
-    # Guards against ignoring a failure because the server was to be left anyway.
+    # Guards against ignoring a failure because the server was to be replaced anyway.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        await unresponsive_server(entry, streams(event(1), pause=0.4, then="reset"))
+        await unresponsive_server(entry, streams(event(1), interval=0.4, then="reset"))
         slow = after(0.7, streams(event(2), event(3)))
         await entry.add_server(slow, loaded=loaded(1))
         keep_from(entry, "i-1")
@@ -442,8 +442,8 @@
     # Guards against leaving a healthy server for one that can't continue the stream.
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        pause = NEXT_EVENT_HEDGE_SECONDS + 0.2
-        await unresponsive_server(entry, streams(event(1), event(2), pause=pause))
+        interval = NEXT_EVENT_HEDGE_SECONDS + 0.2
+        await unresponsive_server(entry, streams(event(1), event(2), interval=interval))
         await entry.add_server(script, loaded=loaded(1))
         keep_from(entry, "i-1")
         caller = await entry.caller()
--- a/tests/forward/test_weights.py
+++ b/tests/forward/test_weights.py
@@ -310,7 +310,7 @@
 def test_a_started_request_ends_on_the_weights_that_it_started_on(play):
     async def scenario():
         entry = Entry(configuration(route(**STREAM), engine=ENGINE))
-        slow = streams(event(1), event(2), event(3), pause=0.3)
+        slow = streams(event(1), event(2), event(3), interval=0.3)
         await entry.add_server(slow, loaded=loaded(1))
         newer = await entry.add_server(streams(event(1)))
         declare_ago(entry, 2, VERSION_SECONDS - 0.5)
