--- a/packages/wasabideck_agent/wasabideck_agent/chunk_store.py
+++ b/packages/wasabideck_agent/wasabideck_agent/chunk_store.py
@@ -57,8 +57,8 @@
         """Drop all other manifests, and chunks that none of the remaining ones list."""
         self._manifests = {d: m for d, m in self._manifests.items() if d in digests}
         self._held = {d: mask for d, mask in self._held.items() if d in digests}
-        named = {chunk for m in self._manifests.values() for chunk in m.chunks}
-        self._chunks = {d: data for d, data in self._chunks.items() if d in named}
+        listed = {chunk for m in self._manifests.values() for chunk in m.chunks}
+        self._chunks = {d: data for d, data in self._chunks.items() if d in listed}
 
     def _held_mask(self, manifest: Manifest) -> int:
         held = (i for i, d in enumerate(manifest.chunks) if d in self._chunks)
--- a/packages/wasabideck_agent/wasabideck_agent/engine_agent.py
+++ b/packages/wasabideck_agent/wasabideck_agent/engine_agent.py
@@ -319,23 +319,23 @@
     def _log_expiry(self, model: EngineModel, state: EngineState) -> None:
         """Log the engine's load once when the weights that it serves have expired."""
         held = loaded_version(state, model)
-        cluster_state, bounds = (
+        cluster_state, limits = (
             self.process.state_sync.cluster_state,
             self.process.cfg.limits,
         )
-        over_at = cluster_state.expires_at(
-            model.model, held, bounds.version_deadline_seconds
+        expires_at = cluster_state.expires_at(
+            model.model, held, limits.version_deadline_seconds
         )
         now = self.process.clock()
         if not 0 < held or held == self._logged_expiry:
             return
-        if over_at is None or now < over_at:
+        if expires_at is None or now < expires_at:
             return
         self._logged_expiry = held
         self.events.emit(
             "weights.over",
             version=held,
-            since=round(now - over_at, 3),
+            since=round(now - expires_at, 3),
             busy=state.order_in_progress,
             running=state.running,
             waiting=state.waiting,
@@ -587,12 +587,12 @@
             return now
         since = self._complete_since.setdefault(version, now)
         state_sync, cfg = self.process.state_sync, self.process.cfg
-        over_at = state_sync.cluster_state.expires_at(
+        expires_at = state_sync.cluster_state.expires_at(
             model.model, self._served_version, cfg.limits.version_deadline_seconds
         )
-        if over_at is None:
+        if expires_at is None:
             return now
-        latest = over_at - SWAP_MARGIN_SECONDS
+        latest = expires_at - SWAP_MARGIN_SECONDS
         vms = {cfg.vm, *(member.vm for member in self.peers.members())}
         available = latest - since
         delay = rollout_delay(cfg.vm, version, vms, model.load_seconds, available)
--- a/packages/wasabideck_agent/wasabideck_agent/engine_orders.py
+++ b/packages/wasabideck_agent/wasabideck_agent/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine, one in flight at a time, and the gate that depends on them."""
+"""Orders to the engine, one in flight at a time, and admission as they require it."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @define
 class Orders:
-    """Sends orders to one engine, reads its state back and sets the gate by it.
+    """Sends orders to one engine, reads its state back, and opens or closes admission.
 
     Attributes
     ----------
@@ -75,7 +75,7 @@
         return self.runner.serving
 
     async def read_back(self) -> None:
-        """Read what the engine serves and set the gate by it."""
+        """Read what the engine serves, and open or close admission accordingly."""
         if self._order_in_flight:
             return
         self._apply_read_back(await self.engine.read_state())
--- a/packages/wasabideck_agent/wasabideck_agent/load_reader.py
+++ b/packages/wasabideck_agent/wasabideck_agent/load_reader.py
@@ -21,7 +21,7 @@
 
     Attributes
     ----------
-    engine : Engine or None
+    engine : ModelEngineClient or None
         None if the server reports nothing.
     load : float
         From 0 (idle) to 1 (full); more when requests wait inside the engine.
--- a/packages/wasabideck_agent/wasabideck_agent/peer_manifests.py
+++ b/packages/wasabideck_agent/wasabideck_agent/peer_manifests.py
@@ -41,7 +41,7 @@
     Parameters
     ----------
     vm : str
-        The VM of the agent that asks.
+        VM of the agent that sends the queries.
     """
     drawn = rng.sample(peers, min(MAX_QUERIED_PEERS, len(peers)))
     return await query_all(model, version, vm, drawn, channels)
--- a/packages/wasabideck_agent/wasabideck_agent/retirement.py
+++ b/packages/wasabideck_agent/wasabideck_agent/retirement.py
@@ -148,19 +148,19 @@
     def required_version(self, model: EngineModel, at: float) -> int:
         """Return the lowest version on which requests may start at the given time.
 
-        A version whose declaration time is unknown is not due for ``stable`` seconds,
-        during which the time may be found. Meanwhile entries send no requests to older
-        weights.
+        A version whose declaration time is unknown is not due for
+        ``disturbance_hold_seconds``, during which the time may be found. Meanwhile
+        entries send no requests to older weights.
         """
-        bounds, cluster_state = (
+        limits, cluster_state = (
             self.process.cfg.limits,
             self.process.state_sync.cluster_state,
         )
         return cluster_state.min_version_for_irreversible(
             model.model,
-            bounds.version_deadline_seconds,
+            limits.version_deadline_seconds,
             at,
-            bounds.disturbance_hold_seconds,
+            limits.disturbance_hold_seconds,
         )
 
     async def _unload_older(self, model: EngineModel, due: int) -> None:
--- a/packages/wasabideck_agent/wasabideck_agent/runner.py
+++ b/packages/wasabideck_agent/wasabideck_agent/runner.py
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    serving : Loaded
+    serving : ServedState
         What the engine served when it was last read back.
     open_streams : int
         Number of event streams to readers that are open.
@@ -71,7 +71,7 @@
     _crashed_at: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
-        """Create the slots that the gate controls."""
+        """Create the slots that the admission control assigns."""
         self.slots = Slots(self.gate, self.clock)
 
     def start(self, req: pb.RunRequest) -> Attempt:
@@ -242,8 +242,8 @@
             if line["version"] != serving.version:
                 # The engine swapped while this answer was generated, so the rest
                 # of it would come from the weights of another version. If this agent
-                # did not order the swap, the gate is closed here. If it did, the
-                # order closed the gate, and the next read-back sets it.
+                # did not order the swap, admission is closed here. If it did, the
+                # order closed admission, and the next read-back sets it.
                 if line["version"] != self.serving.version:
                     self.gate.accepting = False
                 return Unknown(Failure("MixedVersion", line["version"]), 1.0)
--- a/packages/wasabideck_agent/wasabideck_agent/slots.py
+++ b/packages/wasabideck_agent/wasabideck_agent/slots.py
@@ -15,17 +15,18 @@
 
 __all__ = ["Slot", "Slots"]
 
-# Other code opens the gate, so it is polled at this interval while requests wait.
-GATE_POLL_INTERVAL_SECONDS = 0.25
+# Other code changes whether requests are admitted, so this is polled at this interval
+# while requests wait.
+ADMISSION_POLL_INTERVAL_SECONDS = 0.25
 
 
 @define
 class Slots:
-    """Assigns slots to waiting requests, in the order that the gate decides.
+    """Assigns slots to waiting requests, in the order of the admission control.
 
     Attributes
     ----------
-    limit : AdaptiveLimit or None
+    limit : AdaptiveConcurrencyLimit or None
         Determines the capacity of a server that reports no load.
     """
 
@@ -48,7 +49,7 @@
         self._grants[waiting] = grant
         self.assign()
         if self.gate.queue and (self._poll_task is None or self._poll_task.done()):
-            self._poll_task = asyncio.create_task(self._poll_gate())
+            self._poll_task = asyncio.create_task(self._poll_admission())
         try:
             return await asyncio.shield(grant)
         except asyncio.CancelledError:
@@ -77,13 +78,13 @@
             self._resolve(first, None)
         self.gate.waiting = len(self.gate.queue)
 
-    async def _poll_gate(self) -> None:
+    async def _poll_admission(self) -> None:
         """Assign slots periodically while requests wait.
 
         There may be no other trigger before the requests miss their deadlines.
         """
         while self.gate.queue:
-            await asyncio.sleep(GATE_POLL_INTERVAL_SECONDS)
+            await asyncio.sleep(ADMISSION_POLL_INTERVAL_SECONDS)
             self.assign()
 
     def _resolve(self, waiting: WaitingRequest, refusal: NotRun | None) -> None:
--- a/packages/wasabideck_agent/wasabideck_agent/swap_scheduler.py
+++ b/packages/wasabideck_agent/wasabideck_agent/swap_scheduler.py
@@ -60,7 +60,7 @@
         unresponsive = [
             p.vm for p, r in zip(queried, replies, strict=True) if r is None
         ]
-        # Waiting does not bring a frozen or terminated server back, so it is not
+        # Waiting does not bring a suspended or terminated server back, so it is not
         # counted for a while. The replies of the other peers are outdated once the
         # timeout has passed, so these peers are queried again.
         self._unresponsive_at |= dict.fromkeys(unresponsive, self.clock())
--- a/packages/wasabideck_agent/wasabideck_agent/transfer.py
+++ b/packages/wasabideck_agent/wasabideck_agent/transfer.py
@@ -45,7 +45,7 @@
 from .peer_calls import PeerCalls
 
 if TYPE_CHECKING:
-    # The client library of Origin takes a fifth of an agent's startup time, and is not
+    # The library of this client takes a fifth of an agent's startup time, and is not
     # used on every platform.
     from wasabideck_base.weight_origin import WeightOriginClient
 
--- a/packages/wasabideck_agent/wasabideck_agent/version_choice.py
+++ b/packages/wasabideck_agent/wasabideck_agent/version_choice.py
@@ -90,8 +90,8 @@
             manifest = self.manifests.known(version)
             if not held < version < newest or manifest is None:
                 continue
-            over_at = cluster_state.expires_at(model.model, version, within)
-            if over_at is not None and over_at - now >= MIN_SERVING_SECONDS:
+            expires_at = cluster_state.expires_at(model.model, version, within)
+            if expires_at is not None and expires_at - now >= MIN_SERVING_SECONDS:
                 return manifest
         return None
 
--- a/packages/wasabideck_base/wasabideck_base/declaration_times.py
+++ b/packages/wasabideck_base/wasabideck_base/declaration_times.py
@@ -26,7 +26,7 @@
 TIMES_TABLE = "wasabideck-version-dates"
 # Version of a row that does not exist.
 ABSENT_VERSION = 0
-# The longer an answer takes, the more a version's age is overestimated: a read that
+# The longer a response takes, the more a version's age is overestimated: a read that
 # takes longer than this is repeated.
 READ_TIMEOUT_SECONDS = 0.5
 # First and maximum backoff between attempts.
--- a/packages/wasabideck_base/wasabideck_base/events.py
+++ b/packages/wasabideck_base/wasabideck_base/events.py
@@ -137,7 +137,7 @@
     listeners: list[Callable[[str, dict], None]] = field(factory=list)
 
     def emit(self, kind: str, /, **fields: object) -> None:
-        """Write one event; ``kind`` is a key of ``vocabulary.KINDS``."""
+        """Write one event; ``kind`` is a key of ``event_kinds.EVENT_KINDS``."""
         stamp = self.clock.tick(self.wall())
         eliot.log_message(message_type=kind, vm=self.vm, hlc=str(stamp), **fields)
         for listener in self.listeners:
--- a/packages/wasabideck_base/wasabideck_base/region_readers.py
+++ b/packages/wasabideck_base/wasabideck_base/region_readers.py
@@ -30,7 +30,7 @@
 # take time over a region's link, and another read would slow down those of the readers.
 MAX_LAG_SECONDS = 1.5
 # Time, beside the wait of a call, until a follower of unresponsive readers has read the
-# table itself: an answer becomes overdue, a reader's reply expires, the table is read.
+# table itself: a response becomes overdue, a reader's reply expires, the table is read.
 # It is subtracted from the time in which a change has to be in effect.
 FAILOVER_SECONDS = 2.0
 # At a start the readers are unknown until the members are read. The other entries delay
@@ -138,7 +138,7 @@
         )
 
     def _set_long_poll(self, has_followers: bool) -> None:
-        """Shorten the wait of the store's answers where others rely on this entry."""
+        """Shorten the wait of the store's responses where others rely on this entry."""
         short_wait = max(
             MIN_LONG_POLL_SECONDS, self.in_effect_seconds - FAILOVER_SECONDS
         )
--- a/packages/wasabideck_base/wasabideck_base/state_sync.py
+++ b/packages/wasabideck_base/wasabideck_base/state_sync.py
@@ -63,7 +63,7 @@
 MEMBERS_WAIT_SECONDS = 1.0
 # Interval at which a pending read checks whether an entry has sent the declarations.
 GOSSIP_CHECK_SECONDS = 0.1
-# Maximum backoff between failed reads. The part of an answer that arrives before its
+# Maximum backoff between failed reads. The part of a response that arrives before its
 # read is cancelled uses up the bandwidth of a full link, so that the reads of other
 # processes time out as well.
 MAX_READ_BACKOFF_SECONDS = 8.0
@@ -250,7 +250,7 @@
         newer += self.gossip.merge(declarations, STORE)
         if self._store_rows_are_new:
             # Rows up to the adopted version are excluded: they are older than this
-            # answer.
+            # response.
             self._bound_ages(newer)
 
     @property
@@ -259,7 +259,7 @@
         return self._operators_read and not self.operator_watch.first_read_unverified
 
     def _bound_ages(self, declarations: list[Declaration]) -> None:
-        """Bound ages by the store's answer, also if a peer sent the version earlier."""
+        """Bound ages by the store's response, also of versions that a peer sent."""
         for declaration in declarations:
             if declaration.key != CONFIGURATION:
                 since = min(self.clock(), self.operator_watch.written_since)
@@ -324,8 +324,8 @@
         time is found.
         """
         if source == STORE and self._store_rows_are_new:
-            # The version may be older than the answer, if it was declared in the delay
-            # after another change or while the answer was in transit: see
+            # The version may be older than the response, if it was declared in the
+            # delay after another change or while the response was in transit: see
             # ``_bound_ages``.
             return now, True
         return now - self.cfg.limits.version_deadline_seconds, False
@@ -415,14 +415,14 @@
                 self.events.emit("server.joined", **fields, version=row.version)
             backends.update(listed)
         # Removals are applied last, all at once, and by the last row of each key: one
-        # answer may contain a change of a row and then its removal, and the older row
+        # response may contain a change of a row and then its removal, and the older row
         # would add the server again.
         last = {row.key: row for row in rows}
         removed = [key for key, row in last.items() if row.removed]
         backends.remove(removed, self.clock(), self._earliest_removal())
 
     def _earliest_removal(self) -> float:
-        """Return the earliest removal time of servers that the answer lacks."""
+        """Return the earliest removal time of servers that the response lacks."""
         return min(self.clock(), self.server_watch.written_since)
 
     def _apply_full_server_list(self, rows: list[Row]) -> None:
@@ -443,7 +443,7 @@
 
     async def _run_gossip(self) -> None:
         while True:
-            answered_at = self.operator_watch.last_answer_at
+            responded_at = self.operator_watch.last_response_at
             cut_off = self._is_cut_off()
             uncertain = any(map(self._is_uncertain, self.gossip.declarations.numbers()))
             await asyncio.sleep(
@@ -453,9 +453,9 @@
             )
             await self.gossip.sync_with_one()
             self.cluster_state.last_contact_at = max(
-                answered_at,
+                responded_at,
                 self.gossip.last_reply_at,
-                self.operator_watch.last_answer_at,
+                self.operator_watch.last_response_at,
             )
 
     def _is_cut_off(self) -> bool:
@@ -517,7 +517,7 @@
         """Read the declarations, and stop when an entry sends them first.
 
         After a power failure all agents of a region read at once over its link, which
-        takes seconds. The first entry that has the answer makes the remaining reads
+        takes seconds. The first entry that has the response makes the remaining reads
         unnecessary, and cancelling them frees the link.
 
         Returns
--- a/packages/wasabideck_base/wasabideck_base/table_watch.py
+++ b/packages/wasabideck_base/wasabideck_base/table_watch.py
@@ -1,4 +1,4 @@
-"""Follows a table of the store across outages, stale answers and lost history."""
+"""Follows a table of the store across outages, stale responses and lost history."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 
 __all__ = ["TablePosition", "TableWatch"]
 
-# Maximum time for which the store may hold an answer while nothing changes. Each call
+# Maximum time for which the store may hold a response while nothing changes. Each call
 # costs money, and keep-alive probes detect an unresponsive connection.
 LONG_POLL_SECONDS = 15.0
 # A process that others rely on keeps reporting that it follows the table for this long
-# after the store's answer was due, or after the last byte of an answer: over a full
-# link an empty answer takes a few tenths of a second.
-ANSWER_GRACE_SECONDS = 0.4
+# after the store's response was due, or after the last byte of a response: over a full
+# link an empty response takes a few tenths of a second.
+RESPONSE_GRACE_SECONDS = 0.4
 # Delay after a change before the next call: servers join and operators write in bursts,
-# and one answer then contains what would otherwise take several calls.
+# and one response then contains what would otherwise take several calls.
 SETTLE_SECONDS = 0.4
 # Changes that follow each other within this interval form a burst.
 BURST_INTERVAL_SECONDS = 1.0
 # Maximum number of rows sent to a peer at once, which exceeds the number of servers
 # that leave or join at the same moment.
 MAX_ROWS_SENT = 64
-# Time allowed for a newer row that a peer knows to arrive here: the answer that brought
-# it to the peer should have come here as well.
+# Time allowed for a newer row that a peer knows to arrive here: the response that
+# brought it to the peer should have arrived here as well.
 STALLED_CALL_SECONDS = 0.8
-# An answer later than this was held by the store until something changed.
-HELD_ANSWER_SECONDS = 0.5
-# Minimum age of an answer, its transit included, where the store does not report when
-# it answered.
+# A response later than this was held by the store until something changed.
+HELD_RESPONSE_SECONDS = 0.5
+# Minimum age of a response, its transit included, where the store does not report when
+# it responded.
 MIN_TRANSIT_SECONDS = 0.1
 # Maximum drift between two steady clocks, in seconds per second.
 MAX_CLOCK_DRIFT_RATIO = 2e-4
-# First and maximum backoff while the store does not answer. The maximum stays below the
-# time in which a change has to be in effect after the store's return.
+# First and maximum backoff while the store does not respond. The maximum stays below
+# the time in which a change has to be in effect after the store's return.
 FIRST_BACKOFF_SECONDS = 0.15
 MAX_BACKOFF_SECONDS = 0.8
-# What was written during a longer time without an answer counts, for every process,
+# What was written during a longer time without a response counts, for every process,
 # from at most this long before the store's return: the maximum backoff plus the time of
-# an answer.
+# a response.
 MAX_BACKDATING_SECONDS = 1.0
 
 
@@ -60,7 +60,7 @@
     version : int
         Version of the store that its copy reflects.
     staleness_seconds : float
-        Rows that the copy lacks were written within the last so many seconds.
+        Maximum age of rows that the copy lacks, in seconds.
     """
 
     version: int
@@ -105,14 +105,14 @@
         Version of the store that the copy reflects; -1 before the first read.
     newest : int
         Version of the newest known row, including removals.
-    last_answer_at : float
-        When the store last answered for this table, seconds.
+    last_response_at : float
+        When the store last responded for this table, seconds.
     wait_seconds : float
-        Maximum time for which the store may hold an answer.
+        Maximum time for which the store may hold a response.
     settle_seconds : float
-        Delay after an answer with changes, in which more of them are collected.
+        Delay after a response with changes, in which more of them are collected.
     written_since : float
-        Earliest time at which rows of the current answer may have been written.
+        Earliest time at which rows of the current response may have been written.
     adopted_version : int
         Version up to which a peer sent all that the table holds; -1 for none.
     first_read_unverified : bool
@@ -135,7 +135,7 @@
     _complete_until: float = float("-inf")
     _min_clock_offset: float = float("inf")
     _clock_offset_at: float = float("-inf")
-    last_answer_at: float = float("-inf")
+    last_response_at: float = float("-inf")
     wait_seconds: float = LONG_POLL_SECONDS
     settle_seconds: float = SETTLE_SECONDS
     written_since: float = float("inf")
@@ -155,7 +155,7 @@
 
     @property
     def failing(self) -> bool:
-        """Whether the store did not answer the last call."""
+        """Whether the store did not respond to the last call."""
         return self._failures > 0 or self.version < 0
 
     async def run(self) -> None:
@@ -210,7 +210,7 @@
     def note_newer_row(self, newest: int) -> None:
         """Record that a peer knows a newer row: the current call may be unresponsive.
 
-        A call whose answer is arriving continues: over a full link an answer takes
+        A call whose response is arriving continues: over a full link a response takes
         seconds, and a new call would transfer all of it again.
         """
         now, received = self.clock(), self.store.received_bytes(self.table)
@@ -230,7 +230,7 @@
             self._pending_call.cancel()
 
     def is_lagging(self, now: float, seconds: float) -> bool:
-        """Whether a row that a peer knows has been missing here for so many seconds."""
+        """Whether a row that a peer knows has been missing here for ``seconds``."""
         missing = self._missing_row
         if missing is None or missing.version <= self.newest:
             return False
@@ -238,25 +238,25 @@
 
     def missing_since(self, now: float) -> float:
         """Return the earliest time at which rows missing here may have been written."""
-        if HELD_ANSWER_SECONDS < now - self._follow_started_at <= self.wait_seconds:
+        if HELD_RESPONSE_SECONDS < now - self._follow_started_at <= self.wait_seconds:
             return now - MIN_TRANSIT_SECONDS
         return max(self._complete_until, self._adopted_complete_until)
 
     def position(self, now: float) -> TablePosition | None:
-        """Return how far the table is followed; None while the store does not answer.
+        """Return how far the table is followed; None while the store does not respond.
 
-        An unresponsive connection looks like one on which nothing changes, until an
-        answer is overdue.
+        An unresponsive connection looks like one on which nothing changes, until a
+        response is overdue.
         """
         received = self.store.received_bytes(self.table)
         if received > self._bytes_received:
             self._bytes_arrived_at, self._bytes_received = now, received
         last_activity_at = max(
-            self.last_answer_at, self._requested_at, self._bytes_arrived_at
+            self.last_response_at, self._requested_at, self._bytes_arrived_at
         )
         if (
             self.failing
-            or now - last_activity_at > self.wait_seconds + ANSWER_GRACE_SECONDS
+            or now - last_activity_at > self.wait_seconds + RESPONSE_GRACE_SECONDS
         ):
             return None
         return TablePosition(self.version, now - self.missing_since(now))
@@ -298,10 +298,10 @@
         self.first_read_unverified = self.first_read_unverified or self.version < 0
         changes = await self._await_call(self.store.read(self.table))
         if changes.version < self.version:
-            # An answer older than the copy would remove rows that were added since.
+            # A response older than the copy would remove rows that were added since.
             await asyncio.sleep(self._next_backoff())
             return
-        self._record_answer(changes, requested_at)
+        self._record_response(changes, requested_at)
         self._needs_full_read = False
         self.written_since = max(missing_since, self._complete_until - max_age)
         self._apply(changes)
@@ -320,9 +320,9 @@
         if changes.version < self.version:
             await asyncio.sleep(self._next_backoff())
             return
-        self._record_answer(changes, requested_at)
+        self._record_response(changes, requested_at)
         if (
-            HELD_ANSWER_SECONDS
+            HELD_RESPONSE_SECONDS
             < self._complete_until - requested_at
             <= self.wait_seconds
         ):
@@ -343,18 +343,18 @@
         await asyncio.sleep(self.settle_seconds)
 
     def _missing_bounds(self) -> tuple[float, float]:
-        """Return the earliest write time of the next answer's rows, and a maximum age.
+        """Return the next response's earliest write time of rows, and a maximum age.
 
         A follower that has just lost its region readers calls the store later than
         processes with a pending call, and not because the store had an outage.
         """
         missing_since = max(self._complete_until, self._adopted_complete_until)
-        if self._failures or self._adopted_complete_until <= self.last_answer_at:
+        if self._failures or self._adopted_complete_until <= self.last_response_at:
             return missing_since, MAX_BACKDATING_SECONDS
         return missing_since, MAX_BACKDATING_SECONDS + CONFIRMATION_VALID_SECONDS
 
     async def _await_call(self, call: object) -> RowChanges:
-        """Return the answer to a call, which ``note_newer_row`` may cancel."""
+        """Return the response to a call, which ``note_newer_row`` may cancel."""
         self._pending_call = asyncio.ensure_future(call)
         self._requested_at = self.clock()
         try:
@@ -376,28 +376,28 @@
         if newer:
             self.on_rows(newer)
 
-    def _record_answer(self, changes: RowChanges, requested_at: float) -> None:
-        self.last_answer_at = self.clock()
-        self._complete_until = self.last_answer_at - self._transit_seconds(
+    def _record_response(self, changes: RowChanges, requested_at: float) -> None:
+        self.last_response_at = self.clock()
+        self._complete_until = self.last_response_at - self._transit_seconds(
             changes, requested_at
         )
         if self._failures:
             self._failures = 0
-            outage_seconds = self.last_answer_at - self._failing_since
+            outage_seconds = self.last_response_at - self._failing_since
             self.events.emit(
                 "store.back", table=self.table, seconds=round(outage_seconds, 3)
             )
             self.on_recovery(outage_seconds)
 
     def _transit_seconds(self, changes: RowChanges, requested_at: float) -> float:
-        """Return an answer's transit time in excess of the shortest one so far."""
+        """Return a response's transit time in excess of the shortest one so far."""
         if changes.store_responded_at is None:
             return 0.0
-        offset = self.last_answer_at - changes.store_responded_at
-        drift = MAX_CLOCK_DRIFT_RATIO * (self.last_answer_at - self._clock_offset_at)
+        offset = self.last_response_at - changes.store_responded_at
+        drift = MAX_CLOCK_DRIFT_RATIO * (self.last_response_at - self._clock_offset_at)
         self._min_clock_offset = min(self._min_clock_offset + max(0.0, drift), offset)
-        self._clock_offset_at = self.last_answer_at
-        if offset - self._min_clock_offset > self.last_answer_at - requested_at:
+        self._clock_offset_at = self.last_response_at
+        if offset - self._min_clock_offset > self.last_response_at - requested_at:
             # Longer than the whole call: the store's clock has changed.
             self._min_clock_offset = offset
         return offset - self._min_clock_offset
--- a/packages/wasabideck_policy/wasabideck_policy/admission.py
+++ b/packages/wasabideck_policy/wasabideck_policy/admission.py
@@ -99,20 +99,22 @@
         return min(MAX_OVERTAKEN_RATIO, ratio)
 
 
-def admit(gate: AdmissionControl, waiting: WaitingRequest, now: float) -> NotRun | None:
+def admit(
+    admission: AdmissionControl, waiting: WaitingRequest, now: float
+) -> NotRun | None:
     """Return None if the request may wait or run, and otherwise its final refusal."""
-    if gate.draining:
+    if admission.draining:
         return NotRun(Failure("Leaving", "the server is shutting down"))
-    if not gate.accepting:
+    if not admission.accepting:
         return NotRun(Failure("NotServing", "no complete version in effect"), 1.0)
     if waiting.priority == MOST_URGENT:
-        gate.reserve_until = now + RESERVE_SECONDS
-    wait = gate.expected_wait(waiting, now)
-    slack = waiting.deadline - now - gate.service_seconds
+        admission.reserve_until = now + RESERVE_SECONDS
+    wait = admission.expected_wait(waiting, now)
+    slack = waiting.deadline - now - admission.service_seconds
     # An organisation that already has waiting requests may use only half of the
     # remaining time, so that the queue always has room behind them for the first
     # request of another organisation.
-    queued = gate.queue.has_waiting(waiting.organisation)
+    queued = admission.queue.has_waiting(waiting.organisation)
     excess = wait - (slack * QUEUED_SLACK_RATIO if queued else slack)
     if not wait or excess <= 0:
         return None
@@ -124,8 +126,8 @@
 
 
 def timeout_refusal(
-    gate: AdmissionControl, waiting: WaitingRequest, now: float
+    admission: AdmissionControl, waiting: WaitingRequest, now: float
 ) -> NotRun:
     """Return the final refusal of a waiting request that can no longer end in time."""
-    wait = max(MIN_RETRY_AFTER_SECONDS, gate.expected_wait(waiting, now))
+    wait = max(MIN_RETRY_AFTER_SECONDS, admission.expected_wait(waiting, now))
     return NotRun(Failure(OVERLOADED, "no slot became free in time"), wait)
--- a/packages/wasabideck_policy/wasabideck_policy/attempt_registry.py
+++ b/packages/wasabideck_policy/wasabideck_policy/attempt_registry.py
@@ -17,8 +17,8 @@
 # Maximum age of a run request at its arrival; older ones do not run.
 MAX_REQUEST_AGE_SECONDS = 10.0
 # How long an ended or cancelled attempt is remembered. It must be longer than
-# ARRIVAL_SECONDS: otherwise a late request could arrive after its tombstone was
-# deleted, and run.
+# MAX_REQUEST_AGE_SECONDS: otherwise a late request could arrive after its tombstone
+# was deleted, and run.
 KEEP_SECONDS = 60.0
 
 
@@ -59,8 +59,8 @@
         if incarnation != self.incarnation or name in self._arrived:
             return False
         self._tombstones[name] = now
-        # It was sent ARRIVAL_SECONDS before ``not_after`` at the earliest, and every
-        # attempt that arrived since then is remembered for KEEP_SECONDS.
+        # It was sent MAX_REQUEST_AGE_SECONDS before ``not_after`` at the earliest, and
+        # every attempt that arrived since then is remembered for KEEP_SECONDS.
         return now < not_after - MAX_REQUEST_AGE_SECONDS + KEEP_SECONDS
 
     def record_end(self, name: str, now: float) -> None:
--- a/packages/wasabideck_policy/wasabideck_policy/backends.py
+++ b/packages/wasabideck_policy/wasabideck_policy/backends.py
@@ -101,7 +101,7 @@
         When any byte was last received from it, seconds.
     versions : dict of str to int
         Versions of weights that its responses or its agent reported, by model.
-    report : EngineNews or None
+    report : EngineReport or None
         Last report of its agent, received at ``reported_at``. Responses of the server
         itself report only its load.
     not_serving_since : float or None
@@ -163,14 +163,14 @@
             # with each request, and a healthy server would seem full forever.
             self.sent_since_report = 0
 
-    def apply_report(self, news: EngineReport, now: float) -> None:
+    def apply_report(self, report: EngineReport, now: float) -> None:
         """Record a report of its agent."""
-        self.report = news
-        if news.serving:
+        self.report = report
+        if report.serving:
             self.not_serving_since = None
         elif self.not_serving_since is None:
             self.not_serving_since = now
-        self.other_requests = max(0, news.load - self.in_progress)
+        self.other_requests = max(0, report.load - self.in_progress)
         self.load_reported_at = self.reported_at = now
         self.sent_since_report = 0
 
--- a/packages/wasabideck_policy/wasabideck_policy/cluster_state.py
+++ b/packages/wasabideck_policy/wasabideck_policy/cluster_state.py
@@ -207,16 +207,20 @@
         return max(due, default=0)
 
     def min_version_for_irreversible(
-        self, model: str, allowed_seconds: float, at: float, undated_after: float
+        self,
+        model: str,
+        allowed_seconds: float,
+        at: float,
+        unknown_time_hold_seconds: float,
     ) -> int:
-        """Return ``least_version`` for irreversible steps.
+        """Return ``min_version`` for irreversible steps.
 
-        Unlike ``least_version``, it does not treat a version as due at once when its
+        Unlike ``min_version``, it does not treat a version as due at once when its
         declaration time is unknown.
 
         Parameters
         ----------
-        undated_after : float
+        unknown_time_hold_seconds : float
             Seconds after which a version counts as due although its declaration time
             is still unknown.
         """
@@ -224,7 +228,11 @@
             declared.number
             for declared in self._versions.get(model, ())
             if declared.age(at)
-            >= (allowed_seconds if declared.declaration_time_known else undated_after)
+            >= (
+                allowed_seconds
+                if declared.declaration_time_known
+                else unknown_time_hold_seconds
+            )
         )
         return max(due, default=0)
 
--- a/packages/wasabideck_policy/wasabideck_policy/engine_report.py
+++ b/packages/wasabideck_policy/wasabideck_policy/engine_report.py
@@ -56,34 +56,34 @@
 
 
 def seconds_until_ready(
-    news: Iterable[tuple[EngineReport, float]], least_version: int
+    reports: Iterable[tuple[EngineReport, float]], min_version: int
 ) -> float | None:
     """Return the seconds until the first engine may run a request; None if unknown.
 
     Parameters
     ----------
-    news : iterable of (EngineNews, float)
+    reports : iterable of (EngineReport, float)
         Reports of agents and their ages, seconds.
-    least_version : int
+    min_version : int
         Minimum version of the weights that the request needs.
     """
     delays = []
-    for report, age in news:
-        if report.serving and report.version >= max(least_version, 1):
+    for report, age in reports:
+        if report.serving and report.version >= max(min_version, 1):
             return 0.0
-        if report.newest_version >= least_version and report.ready_in > 0:
+        if report.newest_version >= min_version and report.ready_in > 0:
             delays.append(report.ready_in - age)
     return max(0.05, min(delays)) if delays else None
 
 
-def is_major_change(last: EngineReport | None, news: EngineReport) -> bool:
+def is_major_change(last: EngineReport | None, report: EngineReport) -> bool:
     """Whether a report differs enough from the last one to be sent to all at once."""
     if last is None:
         return True
     if (last.serving, last.version, last.newest_version) != (
-        news.serving,
-        news.version,
-        news.newest_version,
+        report.serving,
+        report.version,
+        report.newest_version,
     ):
         return True
-    return abs(last.load - news.load) >= MAJOR_CHANGE_REQUESTS
+    return abs(last.load - report.load) >= MAJOR_CHANGE_REQUESTS
--- a/packages/wasabideck_policy/wasabideck_policy/engine_state.py
+++ b/packages/wasabideck_policy/wasabideck_policy/engine_state.py
@@ -25,7 +25,7 @@
 
     Attributes
     ----------
-    loaded : tuple of Loaded
+    loaded : tuple of LoadedLayers
         Ranges of layers that it holds.
     order_in_progress : bool
         Whether an order is in progress.
--- a/packages/wasabideck_policy/wasabideck_policy/fetch_policy.py
+++ b/packages/wasabideck_policy/wasabideck_policy/fetch_policy.py
@@ -159,8 +159,10 @@
         return None
     for index in bits(_permitted(view, view.owners, unavailable, now)):
         if _unread_by_next(view, index, now):
-            far = bool(view.origin_region) and view.region != view.origin_region
-            return Fetch(index, ORIGIN, far)
+            cross_region = (
+                bool(view.origin_region) and view.region != view.origin_region
+            )
+            return Fetch(index, ORIGIN, cross_region)
     return None
 
 
--- a/packages/wasabideck_policy/wasabideck_policy/load_balancing.py
+++ b/packages/wasabideck_policy/wasabideck_policy/load_balancing.py
@@ -115,7 +115,10 @@
 
 
 def choose_by_cost(
-    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+    servers: Sequence[ServerState],
+    request: RoutingRequest,
+    now: float,
+    rng: random.Random,
 ) -> ServerState:
     """Return the cheapest of a few servers.
 
@@ -126,29 +129,36 @@
     bounds the load that a popular prefix brings to its server: once the wait there
     costs more than reading the prompt elsewhere, requests are sent elsewhere.
     """
-    local = [s for s in servers if s.region == ask.region]
-    remote = [s for s in servers if s.region != ask.region]
+    local = [s for s in servers if s.region == request.region]
+    remote = [s for s in servers if s.region != request.region]
     drawn = _draw(local, rng) + _draw(remote, rng)
-    prefix_home = home_server(ask.prefix, servers) if ask.prefix else None
-    if ask.prefix:
-        drawn += [s for s in servers if ask.prefix in s.prefixes or s is prefix_home]
+    prefix_home = home_server(request.prefix, servers) if request.prefix else None
+    if request.prefix:
+        drawn += [
+            s for s in servers if request.prefix in s.prefixes or s is prefix_home
+        ]
 
     def cost(server: ServerState) -> float:
         seconds = expected_wait(server, now)
-        if ask.prefix and ask.prefix not in server.prefixes:
+        if request.prefix and request.prefix not in server.prefixes:
             # The prefix's home is the server that will cache the prefix.
             miss = (
                 CACHE_MISS_SECONDS / 2 if server is prefix_home else CACHE_MISS_SECONDS
             )
             # Reading a prompt also delays all requests that already wait there.
             seconds += miss * (1 + max(0, server.estimated_load(now) - server.capacity))
-        return seconds + (REMOTE_REGION_SECONDS if server.region != ask.region else 0.0)
+        return seconds + (
+            REMOTE_REGION_SECONDS if server.region != request.region else 0.0
+        )
 
     return min(drawn, key=cost)
 
 
 def two_choices(
-    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+    servers: Sequence[ServerState],
+    request: RoutingRequest,
+    now: float,
+    rng: random.Random,
 ) -> ServerState:
     """Return the one of two random servers with the shorter expected wait."""
     return min(_draw(servers, rng), key=lambda s: expected_wait(s, now))
@@ -160,7 +170,7 @@
 
     def choose(
         servers: Sequence[ServerState],
-        ask: RoutingRequest,
+        request: RoutingRequest,
         now: float,
         rng: random.Random,
     ) -> ServerState:
@@ -172,21 +182,30 @@
 
 
 def uniform(
-    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+    servers: Sequence[ServerState],
+    request: RoutingRequest,
+    now: float,
+    rng: random.Random,
 ) -> ServerState:
     """Return a server drawn with uniform probability."""
     return rng.choice(servers)
 
 
 def least_loaded(
-    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+    servers: Sequence[ServerState],
+    request: RoutingRequest,
+    now: float,
+    rng: random.Random,
 ) -> ServerState:
     """Return the server with the fewest requests of this entry in progress."""
     return min(servers, key=lambda server: (server.in_progress, rng.random()))
 
 
 def reported_two_choices(
-    servers: Sequence[ServerState], ask: RoutingRequest, now: float, rng: random.Random
+    servers: Sequence[ServerState],
+    request: RoutingRequest,
+    now: float,
+    rng: random.Random,
 ) -> ServerState:
     """Return the better of two random servers by their own, delayed reports."""
 
--- a/packages/wasabideck_policy/wasabideck_policy/manifests.py
+++ b/packages/wasabideck_policy/wasabideck_policy/manifests.py
@@ -67,10 +67,10 @@
     @cached_property
     def chunk_indices(self) -> dict[str, list[int]]:
         """Return the indices of each chunk; equal chunks occur at several indices."""
-        places: dict[str, list[int]] = {}
+        indices: dict[str, list[int]] = {}
         for index, digest in enumerate(self.chunks):
-            places.setdefault(digest, []).append(index)
-        return places
+            indices.setdefault(digest, []).append(index)
+        return indices
 
 
 def manifest_to_json(manifest: Manifest) -> bytes:
--- a/packages/wasabideck_policy/wasabideck_policy/membership.py
+++ b/packages/wasabideck_policy/wasabideck_policy/membership.py
@@ -102,10 +102,10 @@
 class StartupKnowledge:
     """Whether a starting process knows enough of the tickets to act on them.
 
-    A peer that was paused may answer with the state of a minute ago. So a single
-    answer is enough only if it reflects the table's head of the last few seconds.
-    While the table is unavailable, the answers of several peers are needed, and the
-    merge keeps the newest state.
+    A peer that was paused may reply with the state of a minute ago. So a single reply
+    is enough only if it reflects the table's head of the last few seconds. While the
+    table is unavailable, the replies of several peers are needed, and the merge keeps
+    the newest state.
     """
 
     sufficient: bool = False
--- a/packages/wasabideck_policy/wasabideck_policy/placement.py
+++ b/packages/wasabideck_policy/wasabideck_policy/placement.py
@@ -145,7 +145,7 @@
 
     All entries receive an agent's report at the same time. When most servers are full,
     all entries send to the one that reported capacity: 52 requests arrived in 0.2 s
-    where 36 had room. The server refused the rest, which cost each one attempt, and
+    where 36 fitted. The server refused the rest, which cost each one attempt, and
     the accepted ones waited for seconds. Therefore each entry assumes that the other
     entries send as it does itself, until the agent's next report.
 
@@ -253,7 +253,7 @@
 
 
 def _place_at(backend: Backend, utilisation: float, demand: Requirements) -> Placement:
-    """Return the place of a request on a server with this utilisation."""
+    """Return the placement of a request on a server with this utilisation."""
     has_slot = utilisation < FREE_SLOT_RATIO
     in_time = (
         utilisation < MAX_IN_TIME_RATIO
--- a/packages/wasabideck_policy/wasabideck_policy/report_targets.py
+++ b/packages/wasabideck_policy/wasabideck_policy/report_targets.py
@@ -42,14 +42,14 @@
     remote: Sequence[str] = ()
     _next_index: int = 0
 
-    def set_entries(self, near: Sequence[str], far: Sequence[str]) -> None:
+    def set_entries(self, local: Sequence[str], remote: Sequence[str]) -> None:
         """Set the entries to report to."""
-        self.local, self.remote = near, far
+        self.local, self.remote = local, remote
 
-    def for_report(self, with_far: bool) -> list[str]:
+    def for_report(self, with_remote: bool) -> list[str]:
         """Return the entries that receive the next regular report."""
         targets = self._next_local(MAX_LOCAL_ENTRIES)
-        return [*targets, *self.remote] if with_far else targets
+        return [*targets, *self.remote] if with_remote else targets
 
     def for_urgent_report(self) -> list[str]:
         """Return the entries that receive a major change at once."""
@@ -68,6 +68,6 @@
 ) -> tuple[list[str], list[str]]:
     """Return addresses of a region's entries, and of the remote ones to report to."""
     entries = [member for member in members if member.kind == ENTRY]
-    near = sorted(m.address for m in entries if m.region == region)
-    far = (m.address for m in entries if m.region != region)
-    return near, heapq.nlargest(MAX_REMOTE_ENTRIES, far, key=scorer(vm))
+    local = sorted(m.address for m in entries if m.region == region)
+    remote = (m.address for m in entries if m.region != region)
+    return local, heapq.nlargest(MAX_REMOTE_ENTRIES, remote, key=scorer(vm))
--- a/packages/wasabideck_policy/wasabideck_policy/startup_stagger.py
+++ b/packages/wasabideck_policy/wasabideck_policy/startup_stagger.py
@@ -21,7 +21,7 @@
 
 
 def read_delay(
-    item: str, vm: str, near: Iterable[str], at_once: int, first_delay: float = 0.0
+    item: str, vm: str, peers: Iterable[str], at_once: int, first_delay: float = 0.0
 ) -> float:
     """Return the seconds for which a process waits for others to send it the rows.
 
@@ -29,14 +29,14 @@
     ----------
     item : str
         Name of what is read; it determines the order of the processes.
-    near : iterable of str
+    peers : iterable of str
         VMs of the processes of the same kind in the same region.
     at_once : int
         Number of processes that read without a delay.
     first_delay : float
         Delay in seconds of the first process that does not read at once.
     """
-    position = rank_vms(item, {*near, vm}).index(vm) - at_once
+    position = rank_vms(item, {*peers, vm}).index(vm) - at_once
     return (
         min(MAX_READ_DELAY_SECONDS, first_delay + position * READ_INTERVAL_SECONDS)
         if position >= 0
--- a/tests/adapter/test_agent.py
+++ b/tests/adapter/test_agent.py
@@ -357,13 +357,13 @@
         address = f"127.0.0.{i}:1"
         members[f"vm-{i}"] = Member(f"vm-{i}", AGENT, address, "r", "dc", "s")
     cluster_state.declare_version("m", 2, clock[0])
-    over_at = clock[0] + agent.process.cfg.limits.version_deadline_seconds
+    expires_at = clock[0] + agent.process.cfg.limits.version_deadline_seconds
     agent._served_version = 1
     since, starts = clock[0], []
     for version in range(2, 40):
         agent._complete_since[version] = since
         starts.append(agent._swap_start(MODEL, version, clock[0]))
     assert min(starts) == since
-    assert since < max(starts) <= over_at - SWAP_MARGIN_SECONDS
+    assert since < max(starts) <= expires_at - SWAP_MARGIN_SECONDS
     agent._served_version = 0
     assert agent._swap_start(MODEL, 2, clock[0]) == clock[0]
--- a/tests/adapter/test_manifests.py
+++ b/tests/adapter/test_manifests.py
@@ -207,12 +207,12 @@
     # A corrupt manifest lists a chunk that nobody has: who holds all chunks is right.
     good = asyncio.run(FakeOrigin().read_manifest("m", 1))
     bad = asyncio.run(CorruptOrigin().read_manifest("m", 1))
-    words = [
+    reports = [
         ManifestReport(bad),
         ManifestReport(bad),
         ManifestReport(good, complete=True),
     ]
-    assert most_reported(words) == good
+    assert most_reported(reports) == good
     assert (
         most_reported([ManifestReport(good), ManifestReport(bad), ManifestReport(bad)])
         == bad
--- a/tests/cluster_state/test_backends.py
+++ b/tests/cluster_state/test_backends.py
@@ -120,10 +120,10 @@
     assert names(backends, 100.0) == {"a", "b"}
 
 
-def servers_with_requests(*heard, now=100.0):
+def servers_with_requests(*seconds_idle, now=100.0):
     """Servers of one data centre with a request each, by seconds since any data."""
     backends = BackendRegistry()
-    for n, ago in enumerate(heard):
+    for n, ago in enumerate(seconds_idle):
         backend = backends.update(at(f"10.0.0.{n}:1", f"i-{n}", 1))
         backend.add_request(now - ago)
         backend.last_received_at = now - ago
--- a/tests/cluster_state/test_cold_start.py
+++ b/tests/cluster_state/test_cold_start.py
@@ -88,7 +88,7 @@
     asyncio.run(run())
 
 
-def least_version(state_sync, clock, at):
+def min_version(state_sync, clock, at):
     clock[0] = at
     within = state_sync.cfg.limits.version_deadline_seconds - MARGIN
     return state_sync.cluster_state.min_version("m", within, at)
@@ -103,7 +103,7 @@
         (35.05, 35.1, RowChanges((row(5, 2),), 5)),
         (35.1, 35.15, RowChanges((row(9, 3),), 9)),
     )
-    assert least_version(entry, clock, 37.9) == 3
+    assert min_version(entry, clock, 37.9) == 3
 
 
 def test_version_read_after_lost_history_is_not_new(clock):
@@ -116,7 +116,7 @@
         (35.1, 35.15, HistoryLost("op", 5)),
         (35.3, 35.35, RowChanges((row(9, 3),), 9)),
     )
-    assert least_version(entry, clock, 37.9) == 3
+    assert min_version(entry, clock, 37.9) == 3
 
 
 def test_version_missing_in_stale_read_is_not_reported_as_new(clock):
@@ -129,11 +129,11 @@
         (35.1, 35.15, RowChanges((row(9, 3),), 9)),
     )
     store_answers(sound, clock, (35.05, 35.2, RowChanges((row(9, 3),), 9)))
-    assert least_version(sound, clock, 37.9) == 3
+    assert min_version(sound, clock, 37.9) == 3
     clock[0] = 35.4
     reply = stale.gossip.handle_sync(sound.gossip._sync_request())
     sound.gossip._apply_entries(reply.entries, "stale")
-    assert least_version(sound, clock, 37.9) == 3
+    assert min_version(sound, clock, 37.9) == 3
 
 
 def test_rewritten_row_does_not_make_its_version_new(clock):
@@ -146,7 +146,7 @@
         (35.05, 35.1, RowChanges((row(9, 3),), 9)),
         (35.1, 36.0, RowChanges((row(12, 3),), 12)),
     )
-    assert least_version(entry, clock, 37.9) == 3
+    assert min_version(entry, clock, 37.9) == 3
 
 
 def test_version_in_late_first_answer_of_agent_is_in_effect(clock):
@@ -158,7 +158,7 @@
         agent._apply_operator_rows([row(9, 3)])
 
     asyncio.run(read())
-    assert least_version(agent, clock, clock[0]) == 3
+    assert min_version(agent, clock, clock[0]) == 3
 
 
 @pytest.mark.parametrize("kind", [ENTRY, AGENT])
@@ -171,7 +171,7 @@
         receive_gossip(process, declaration(2))
     clock[0] = 38.1
     receive_gossip(process, declaration(3))
-    over_at = process.cluster_state.expires_at(
+    expires_at = process.cluster_state.expires_at(
         "m", 2, process.cfg.limits.version_deadline_seconds
     )
-    assert over_at <= 38.1
+    assert expires_at <= 38.1
--- a/tests/cluster_state/test_declaration_times.py
+++ b/tests/cluster_state/test_declaration_times.py
@@ -104,7 +104,7 @@
         self.cluster_state.declare_version("m", number, now - WITHIN, False, now)
         self.declaration_times.request_lookup()
 
-    def least_version(self):
+    def min_version(self):
         return self.cluster_state.min_version("m", WITHIN, self.clock())
 
     def run(self, seconds=0.1):
@@ -152,13 +152,13 @@
     clock.now += 1.0
     started = Process(store, clock)
     started.record_unknown_time(3)
-    assert started.least_version() == 3
+    assert started.min_version() == 3
     started.run()
-    assert started.least_version() == 0
+    assert started.min_version() == 0
     clock.now += 4.0
-    assert started.least_version() == 2
+    assert started.min_version() == 2
     clock.now += 3.0
-    assert started.least_version() == 3
+    assert started.min_version() == 3
 
 
 def test_published_time_is_not_later_than_declaration(store, clock):
@@ -194,7 +194,7 @@
     store.read = slow
     started.run(1.5)
     assert delayed
-    assert started.least_version() == 0
+    assert started.min_version() == 0
 
 
 def test_version_without_published_time_is_in_effect(store, clock):
@@ -203,7 +203,7 @@
     started = Process(store, clock)
     started.record_unknown_time(3)
     started.run(0.5)
-    assert started.least_version() == 3
+    assert started.min_version() == 3
     assert store.reads >= 2
 
 
@@ -218,13 +218,13 @@
     async def run():
         lookup = asyncio.create_task(started.declaration_times.run_lookups())
         await asyncio.sleep(0.05)
-        assert started.least_version() == 2
+        assert started.min_version() == 2
         await publisher.declaration_times._publish("m")
         await asyncio.sleep(1.0)
         lookup.cancel()
 
     asyncio.run(run())
-    assert started.least_version() == 0
+    assert started.min_version() == 0
 
 
 def test_one_of_several_entries_publishes_a_time(store, clock):
@@ -280,10 +280,10 @@
     started = Process(store, clock)
     started.record_unknown_time(2)
     started.run()
-    assert started.least_version() == 2
+    assert started.min_version() == 2
     publisher = Process(store, clock)
     publisher.record_declared(2)
     publisher.run()
     started.declaration_times.request_lookup()
     started.run(0.5)
-    assert started.least_version() == 0
+    assert started.min_version() == 0
--- a/tests/cluster_state/test_placement.py
+++ b/tests/cluster_state/test_placement.py
@@ -20,30 +20,30 @@
 
 def engine(name, load, version=1, serving=True, ready_in=0.0, slots=16):
     backend = Backend(ListedServer(name, "s", f"{name}:1", "dc", slots))
-    news = EngineReport(f"{name}:1", version, serving, load, 0, ready_in, 2)
-    backend.apply_report(news, NOW)
+    report = EngineReport(f"{name}:1", version, serving, load, 0, ready_in, 2)
+    backend.apply_report(report, NOW)
     return backend
 
 
-def place(backends, demand=DEMAND, seed=1):
+def choose(backends, demand=DEMAND, seed=1):
     return choose_server(backends, demand, NOW, random.Random(seed))
 
 
 def test_the_less_loaded_of_the_drawn_servers_is_chosen():
-    found = place([engine("a", 12), engine("b", 3)])
+    found = choose([engine("a", 12), engine("b", 3)])
     assert found.backend.server == "b"
     assert found.urgency == Urgency.IN_TIME
 
 
 def test_a_swapping_server_gets_no_request_and_its_delay_is_returned():
-    found = place([engine("a", 0, serving=False, ready_in=0.9)])
+    found = choose([engine("a", 0, serving=False, ready_in=0.9)])
     assert found.backend is None
     assert found.ready_in == pytest.approx(0.9)
 
 
 def test_expired_weights_serve_no_request():
     demand = Requirements("dc", "m", 16, min_version=2)
-    found = place([engine("a", 0), engine("b", 15, version=2)], demand)
+    found = choose([engine("a", 0), engine("b", 15, version=2)], demand)
     assert found.backend.server == "b"
 
 
@@ -52,8 +52,8 @@
     # when that version has expired: it would be written by weights that no ticket
     # declares any more.
     demand = Requirements("dc", "m", 16, min_queued_version=2)
-    assert place([engine("a", 15)], demand).backend is None
-    assert place([engine("a", 5)], demand).backend.server == "a"
+    assert choose([engine("a", 15)], demand).backend is None
+    assert choose([engine("a", 5)], demand).backend.server == "a"
 
 
 def test_a_queued_server_with_expiring_weights_does_not_count_as_ready():
@@ -62,19 +62,19 @@
     # without a delay for up to 1.2 s, until all sent to the first server that seemed
     # idle.
     demand = Requirements("dc", "m", 16, min_queued_version=2)
-    found = place([engine("a", 15, ready_in=0.8)], demand)
+    found = choose([engine("a", 15, ready_in=0.8)], demand)
     assert found.backend is None
     assert found.ready_in == pytest.approx(0.8)
 
 
 def test_a_request_that_is_not_sent_ahead_waits_behind_the_others():
     behind = Requirements("dc", "m", 16, sent_ahead=False)
-    assert place([engine("a", 17)], behind).urgency == Urgency.LATE
-    assert place([engine("a", 5)], behind).urgency == Urgency.IN_TIME
+    assert choose([engine("a", 17)], behind).urgency == Urgency.LATE
+    assert choose([engine("a", 5)], behind).urgency == Urgency.IN_TIME
 
 
 def test_a_choice_reports_that_all_servers_are_full():
-    found = place([engine("a", 30), engine("b", 40)])
+    found = choose([engine("a", 30), engine("b", 40)])
     assert found.backend is None
     assert found.all_full
 
@@ -87,7 +87,7 @@
     backend.versions["m"] = 1
     backend.reported_at = NOW - 5.0
     backend.load_reported_at = NOW
-    assert place([backend]).backend is backend
+    assert choose([backend]).backend is backend
 
 
 def engine_with_request(name, load, since):
@@ -173,13 +173,13 @@
         demand = Requirements("dc", "m", 16, entries=entries)
         rng = random.Random(seed)
         while (
-            place := choose_server(mine, demand, NOW + 0.1, rng)
+            placement := choose_server(mine, demand, NOW + 0.1, rng)
         ).backend is not None:
-            place.backend.add_request(NOW + 0.1)
+            placement.backend.add_request(NOW + 0.1)
             sent += 1
     # An engine of 16 slots may have a queue in addition.
-    room = free_slots + 16 * MAX_QUEUE_RATIO
-    assert sent <= 4 * room
+    max_sent = free_slots + 16 * MAX_QUEUE_RATIO
+    assert sent <= 4 * max_sent
 
 
 def test_an_agent_report_replaces_the_assumed_requests_of_others():
@@ -220,20 +220,20 @@
     # it read 17 prompts one after the other, 50 ms each, before the first event of any.
     reading, writing = engine("reading", 4), engine("writing", 7)
     reading.unread_prompts = {"a", "b", "c"}
-    place = choose_server(
+    placement = choose_server(
         [reading, writing], Requirements("dc", "m", 16), NOW, random.Random(1)
     )
-    assert place.backend is writing
+    assert placement.backend is writing
 
 
 def test_a_request_that_would_wait_for_two_slots_is_not_sent_ahead():
     # Requests sent ahead to a server with seven waiting requests were all late.
     server = engine("full", 20)
-    place = choose_server(
+    placement = choose_server(
         [server], Requirements("dc", "m", 16, sent_ahead=True), NOW, random.Random(1)
     )
-    assert place.urgency == Urgency.LATE
-    assert not place.has_free_slot
+    assert placement.urgency == Urgency.LATE
+    assert not placement.has_free_slot
 
 
 def test_the_rest_of_a_started_stream_is_always_sent_ahead():
@@ -257,9 +257,11 @@
     unreported = Backend(ListedServer("untold", "s", "untold:1", "elsewhere", 16))
     unreported.versions["m"] = 1
     for seed in range(20):
-        assert place([engine("a", 14), unreported], seed=seed).backend is not unreported
+        assert (
+            choose([engine("a", 14), unreported], seed=seed).backend is not unreported
+        )
     # It is chosen if there is no other server.
-    assert place([unreported]).backend is unreported
+    assert choose([unreported]).backend is unreported
 
 
 def test_with_many_available_servers_one_request_fills_none():
@@ -268,7 +270,7 @@
     servers = [engine(f"s-{n}", 2, slots=8) for n in range(136)]
     for server in servers:
         server.add_request(NOW)
-    found = place(servers, Requirements("dc", "m", 16, entries=36))
+    found = choose(servers, Requirements("dc", "m", 16, entries=36))
     assert found.has_free_slot
     assert found.urgency == Urgency.IN_TIME
 
@@ -278,7 +280,7 @@
     full = [engine(f"s-{n}", 12, slots=8) for n in range(9)]
     servers = [engine("open", 4, slots=8), *full]
     demand, sent = Requirements("dc", "m", 16, entries=36), 0
-    while (found := place(servers, demand)).backend is not None and sent < 50:
+    while (found := choose(servers, demand)).backend is not None and sent < 50:
         found.backend.add_request(NOW)
         sent += 1
     assert sent == 1
--- a/tests/cluster_state/test_region_readers.py
+++ b/tests/cluster_state/test_region_readers.py
@@ -315,7 +315,7 @@
 
 
 def test_age_is_not_underestimated_when_readers_are_unresponsive(region):
-    # Guards against expired weights: a reader whose answer is overdue reports that it
+    # Guards against expired weights: a reader whose response is overdue reports that it
     # lacks nothing, and its followers count the age of the next rows from that reply.
     async def scenario(store, readers, followers):
         now = asyncio.get_running_loop().time
--- a/tests/cluster_state/test_report_targets.py
+++ b/tests/cluster_state/test_report_targets.py
@@ -29,16 +29,17 @@
 
 def test_in_a_small_deployment_all_entries_receive_every_report():
     targets = targets_of(30)
-    assert len(targets.for_report(with_far=False)) == 6
-    assert len(targets.for_report(with_far=True)) == 30
+    assert len(targets.for_report(with_remote=False)) == 6
+    assert len(targets.for_report(with_remote=True)) == 30
 
 
 @pytest.mark.parametrize("entries", [36, 300, 410, 3000])
 def test_the_number_of_reports_is_bounded_for_any_number_of_entries(entries):
     targets = targets_of(entries)
-    assert len(targets.for_report(with_far=False)) <= MAX_LOCAL_ENTRIES
+    assert len(targets.for_report(with_remote=False)) <= MAX_LOCAL_ENTRIES
     assert (
-        len(targets.for_report(with_far=True)) <= MAX_LOCAL_ENTRIES + MAX_REMOTE_ENTRIES
+        len(targets.for_report(with_remote=True))
+        <= MAX_LOCAL_ENTRIES + MAX_REMOTE_ENTRIES
     )
     assert len(targets.for_urgent_report()) <= MAX_URGENT_ENTRIES + MAX_REMOTE_ENTRIES
 
@@ -47,7 +48,9 @@
     # Guards against leaving out the same entries permanently, which would then send
     # requests to servers of which they receive no reports.
     targets = targets_of(410)
-    reports = Counter(a for _ in range(41) for a in targets.for_report(with_far=False))
+    reports = Counter(
+        a for _ in range(41) for a in targets.for_report(with_remote=False)
+    )
     assert set(reports) == set(targets.local)
     assert max(reports.values()) - min(reports.values()) <= 1
 
--- a/tests/cluster_state/test_retry_limit.py
+++ b/tests/cluster_state/test_retry_limit.py
@@ -19,8 +19,8 @@
     # entries together must not become a retry storm that prevents the recovery.
     shares = [RetryLimit(RATIO, SLACK, WINDOW) for _ in range(ENTRIES)]
     now, requests, retries = 0.0, [], []
-    for entry, is_retry, pause in steps:
-        now += pause
+    for entry, is_retry, interval in steps:
+        now += interval
         if not is_retry:
             shares[entry].record_request(now)
             requests.append(now)
@@ -44,7 +44,7 @@
     assert share.try_spend(WINDOW + 1.0, 1)
 
 
-def test_has_room_spends_nothing():
+def test_a_check_of_the_limit_spends_nothing():
     share = RetryLimit(0.2, 10.0, 10.0)
     for _ in range(50):
         assert share.allows_retry(0.0, 1)
--- a/tests/cluster_state/test_startup_stagger.py
+++ b/tests/cluster_state/test_startup_stagger.py
@@ -78,7 +78,7 @@
         self.writes += writes
 
 
-def new_believer(me, store):
+def new_state_sync(me, store):
     cfg = VMSettings(me.vm, "127.0.0.1", "dc", "r", 1, StoreSettings(""))
     return StateSync(
         cfg,
@@ -94,7 +94,7 @@
 
 def run_for(seconds, me, store, steps):
     async def run():
-        state_sync = new_believer(me, store)
+        state_sync = new_state_sync(me, store)
         tasks = [asyncio.create_task(step) for step in steps(state_sync)]
         await asyncio.sleep(seconds)
         for task in tasks:
--- a/tests/cluster_state/test_state_sync.py
+++ b/tests/cluster_state/test_state_sync.py
@@ -31,7 +31,7 @@
     return [1000.0]
 
 
-def new_believer(kind, clock):
+def new_state_sync(kind, clock):
     cfg = VMSettings("vm", "127.0.0.1", "dc", "r", 1, StoreSettings(""))
     return StateSync(
         cfg,
@@ -47,12 +47,12 @@
 
 @pytest.fixture
 def state_sync(clock):
-    return new_believer(ENTRY, clock)
+    return new_state_sync(ENTRY, clock)
 
 
 @pytest.fixture
-def agents_believer(clock):
-    return new_believer(AGENT, clock)
+def agent_state_sync(clock):
+    return new_state_sync(AGENT, clock)
 
 
 def declare_version(state_sync, number):
@@ -64,7 +64,7 @@
     asyncio.run(run())
 
 
-def least_version(state_sync, clock):
+def min_version(state_sync, clock):
     within = state_sync.cfg.limits.version_deadline_seconds - MARGIN
     return state_sync.cluster_state.min_version("m", within, clock[0])
 
@@ -74,9 +74,9 @@
     clock[0] += 60.0
     declare_version(state_sync, 2)
     clock[0] += 7.0
-    assert least_version(state_sync, clock) == 0
+    assert min_version(state_sync, clock) == 0
     clock[0] += 0.5
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
 
 
 def test_version_declared_before_start_is_in_effect_at_once(state_sync, clock):
@@ -86,7 +86,7 @@
     clock[0] += 0.2
     declare_version(state_sync, 2)
     clock[0] += 1.5
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
 
 
 def test_version_of_late_first_read_is_in_effect_at_once(state_sync, clock):
@@ -96,28 +96,28 @@
     # kill.
     clock[0] += 5.0
     declare_version(state_sync, 2)
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
 
 
 def test_version_received_before_store_read_is_in_effect_at_once(state_sync, clock):
     # An entry received the version from a peer that started with it and knew no more.
     clock[0] += 6.0
     state_sync.gossip.merge([Declaration(weights_key("m"), 2, b"{}")], "10.0.0.9:1")
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
 
 
 def test_version_of_unknown_age_is_in_effect_at_once(state_sync, clock):
     # Guards against draft requests to expired weights by an entry that just started.
     clock[0] += 0.2
     declare_version(state_sync, 3)
-    assert least_version(state_sync, clock) == 3
+    assert min_version(state_sync, clock) == 3
 
 
-def test_agent_applies_late_version_of_unknown_age_at_once(agents_believer, clock):
+def test_agent_applies_late_version_of_unknown_age_at_once(agent_state_sync, clock):
     # Guards against expired weights in an engine whose agent was cut off for long.
     clock[0] += 60.0
-    declare_version(agents_believer, 3)
-    assert least_version(agents_believer, clock) == 3
+    declare_version(agent_state_sync, 3)
+    assert min_version(agent_state_sync, clock) == 3
 
 
 def test_version_declared_after_restart_takes_effect_after_full_time(state_sync, clock):
@@ -128,9 +128,9 @@
     clock[0] += 1.0
     declare_version(state_sync, 2)
     clock[0] += 7.0
-    assert least_version(state_sync, clock) == 0
+    assert min_version(state_sync, clock) == 0
     clock[0] += 0.5
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
 
 
 def age_report(*ages):
@@ -158,9 +158,9 @@
     assert [entry.ticket for entry in requested if entry.slot == "declared"] == [1]
     state_sync.gossip._apply_entries(age_report((2, 2.2)), "peer")
     clock[0] += 5.0
-    assert least_version(state_sync, clock) == 0
+    assert min_version(state_sync, clock) == 0
     clock[0] += 0.2
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
 
 
 def test_estimated_age_is_not_reported(state_sync, clock):
@@ -181,12 +181,12 @@
     clock[0] += 0.2
     declare_version(state_sync, 3)
     state_sync.gossip._apply_entries(age_report((2, 4.0), (3, 2.0)), "peer")
-    assert least_version(state_sync, clock) == 0
+    assert min_version(state_sync, clock) == 0
     assert reported_ages(state_sync) == {2: pytest.approx(4.0), 3: pytest.approx(2.0)}
     clock[0] += 3.4
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
     clock[0] += 2.0
-    assert least_version(state_sync, clock) == 3
+    assert min_version(state_sync, clock) == 3
 
 
 def test_process_lacking_a_superseded_version_reports_no_ages(state_sync, clock):
@@ -198,9 +198,9 @@
     state_sync._note_operators_read([])
     declare_version(state_sync, 3)
     assert reported_ages(state_sync) == {}
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
     clock[0] += 1.0
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
 
 
 def test_late_receiver_adopts_older_age_of_peer(state_sync, clock):
@@ -212,11 +212,11 @@
     declare_version(state_sync, 2)
     state_sync.gossip._apply_entries(age_report((2, 0.9)), "peer")
     clock[0] += 6.35
-    assert least_version(state_sync, clock) == 0
+    assert min_version(state_sync, clock) == 0
     clock[0] += 0.1
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
     state_sync.gossip._apply_entries(age_report((2, 1.0)), "later peer")
-    assert least_version(state_sync, clock) == 2
+    assert min_version(state_sync, clock) == 2
 
 
 def test_ages_are_sent_to_peers_that_lack_nothing(state_sync, clock):
--- a/tests/cluster_state/test_table_watch.py
+++ b/tests/cluster_state/test_table_watch.py
@@ -310,7 +310,7 @@
         await watch.step()
 
     asyncio.run(scenario())
-    assert watch.last_answer_at == pytest.approx(1.3)
+    assert watch.last_response_at == pytest.approx(1.3)
     assert 0.0 <= watch.written_since <= 0.4
 
 
--- a/tests/cluster_state/test_version_ages.py
+++ b/tests/cluster_state/test_version_ages.py
@@ -5,7 +5,7 @@
 from test_cold_start import (
     clock,
     declaration,
-    least_version,
+    min_version,
     new_process,
     receive_gossip,
     row,
@@ -36,7 +36,7 @@
     store_answers(reader, clock, (35.1, 35.2, RowChanges((row(9, 3),), 9)))
     assert reader.cluster_state.declaration_time_unknown("m")
     receive_gossip(follower, declaration(3))
-    assert least_version(follower, clock, 37.9) == 3
+    assert min_version(follower, clock, 37.9) == 3
 
 
 def test_an_age_counts_from_when_the_peer_was_asked(clock, monkeypatch):
@@ -113,4 +113,4 @@
     started.run()
     started.cluster_state.declare_version("m", 3, clock() - 8.0, False, clock())
     clock.now += 8.0
-    assert started.least_version() == 3
+    assert started.min_version() == 3
--- a/tests/tickets/test_membership.py
+++ b/tests/tickets/test_membership.py
@@ -88,10 +88,10 @@
 def test_when_a_starting_process_knows_enough(answers, known):
     """A VM starts while the table is unavailable, and queries one entry that was frozen
     for a minute. It would load the version of a minute ago. Two entries are needed."""
-    heard = StartupKnowledge()
+    knowledge = StartupKnowledge()
     for vm, age in answers:
-        heard.record_peer_state(vm, age, listed=3)
-    assert heard.sufficient is known
+        knowledge.record_peer_state(vm, age, listed=3)
+    assert knowledge.sufficient is known
 
 
 def test_a_single_entry_is_enough_if_there_is_no_other():
--- a/tests/tickets/test_orders.py
+++ b/tests/tickets/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine that ignores fencing tokens, and the gate that follows."""
+"""Orders to an engine that ignores fencing tokens, and the admission that follows."""
 
 import asyncio
 
@@ -181,13 +181,13 @@
 
 
 @define
-class Gate:
+class FakeAdmission:
     accepting: bool = False
 
 
 @define
 class FakeRunner:
-    gate: Gate = field(factory=Gate)
+    gate: FakeAdmission = field(factory=FakeAdmission)
     serving: Serving = field(factory=Serving)
 
 
--- a/tests/weights/test_chunk_store.py
+++ b/tests/weights/test_chunk_store.py
@@ -25,9 +25,9 @@
 @given(steps)
 def test_a_complete_manifest_has_exactly_the_bytes_of_one_version(sequence):
     store = ChunkStore()
-    for kind, version, place in sequence:
+    for kind, version, number in sequence:
         manifest, texts = MANIFESTS[version], TEXTS[version]
-        index = place % len(texts)
+        index = number % len(texts)
         if kind == "cancel":
             store.keep_manifests({manifest.digest})
             continue
--- a/tests/weights/test_slow_peers.py
+++ b/tests/weights/test_slow_peers.py
@@ -30,8 +30,8 @@
         "r",
         limits=FetchLimits(slot_seconds=SLOT_SECONDS, stall_seconds=2.0),
     )
-    near = [Member(vm, AGENT, f"{vm}:1", "r", "dc") for vm in "bcd"]
-    set_members(made, "m", [*near, Member("far", AGENT, "far:1", "r2", "dc2")])
+    local = [Member(vm, AGENT, f"{vm}:1", "r", "dc") for vm in "bcd"]
+    set_members(made, "m", [*local, Member("far", AGENT, "far:1", "r2", "dc2")])
     return made
 
 
--- a/tests/weights/test_transfer.py
+++ b/tests/weights/test_transfer.py
@@ -68,12 +68,12 @@
 class SlowService(ChunksService):
     """Sends chunks slowly in small parts; all but its first holdings reply are late."""
 
-    asked = 0
+    queries = 0
     fetched = 0
 
     async def Holdings(self, stream):
-        SlowService.asked += 1
-        if SlowService.asked > 1:
+        SlowService.queries += 1
+        if SlowService.queries > 1:
             await asyncio.sleep(1.0)
         await super().Holdings(stream)
 
