--- a/packages/wasabideck_agent/wasabideck_agent/agent.py
+++ b/packages/wasabideck_agent/wasabideck_agent/agent.py
@@ -70,24 +70,24 @@
 
     def status(self, req: pb.StatusRequest) -> pb.StatusReply:
         """Return the report on this agent's server that entries receive."""
-        gate = self.runner.gate
+        admission = self.runner.admission
         prefixes, changes = self.load_reader.cached_prefixes(time.monotonic())
         # The set takes some hundred bytes and is sent only to entries that lack it.
         sent_prefixes = [] if req.cache_changes == changes else prefixes
         return pb.StatusReply(
             vm=self.vm,
             service=self.cfg.server.service,
-            leaving=gate.draining,
-            serving=gate.accepting,
+            leaving=admission.draining,
+            serving=admission.accepting,
             ticket=self.runner.serving.fence,
             version=self.runner.serving.version,
             manifest=self.runner.serving.manifest,
-            in_progress=gate.running,
-            waiting=gate.waiting,
-            capacity=gate.capacity,
+            in_progress=admission.running,
+            waiting=admission.waiting,
+            capacity=admission.capacity,
             load=self.load_reader.load,
             load_at=self.load_reader.reported_at,
-            service_time=gate.service_seconds,
+            service_time=admission.service_seconds,
             cached_prefixes=sent_prefixes,
             cache_changes=changes,
             incarnation=self.runner.attempts.arrivals.incarnation,
@@ -141,7 +141,7 @@
             except PlatformUnavailable as exc:
                 self.events.emit("table.unavailable", why=str(exc))
         if self.cfg.server.kind == PLAIN_KIND:
-            self.runner.gate.accepting = self.ticket_replication.ready
+            self.runner.admission.accepting = self.ticket_replication.ready
 
     async def _sync_with(self, member: Member, listed: int) -> None:
         channel = self.channels.get(member.address)
--- a/packages/wasabideck_agent/wasabideck_agent/assembly.py
+++ b/packages/wasabideck_agent/wasabideck_agent/assembly.py
@@ -61,7 +61,7 @@
     holder = Holder(cfg.process.vm, "", incarnation)
     runner = Runner(
         vm=cfg.process.vm,
-        gate=AdmissionControl(cfg.server.capacity),
+        admission=AdmissionControl(cfg.server.capacity),
         events=events,
         engine=None if plain else ModelEngineClient(http),
         plain=PlainServiceClient(http) if plain else None,
--- a/packages/wasabideck_agent/wasabideck_agent/engine_orders.py
+++ b/packages/wasabideck_agent/wasabideck_agent/engine_orders.py
@@ -107,7 +107,7 @@
         await self._wait_until_settled()
         if not self._is_due(desired):
             return
-        if self.runner.gate.accepting:
+        if self.runner.admission.accepting:
             await wait_for_turn()
         # A newer ticket may cancel the task that waits here, but not the order: it has
         # been sent, and the next order needs to know how it ended.
@@ -139,7 +139,7 @@
         self.events.emit("order.sent", ticket=desired.ticket, version=order.version)
         # New requests wait while the engine swaps. Requests in progress continue on
         # the version that they started with.
-        self.runner.gate.accepting = False
+        self.runner.admission.accepting = False
         started = self.clock()
         try:
             await self.engine.order(order, chunks)
@@ -165,7 +165,7 @@
         if serving.fence < self.book.highest_fence:
             self.events.emit("engine.reverted", fence=serving.fence)
         self.runner.serving = serving
-        self.runner.gate.accepting = may_serve(
+        self.runner.admission.accepting = may_serve(
             serving, self.desired_weights(), self.book.highest_fence
         )
 
--- a/packages/wasabideck_agent/wasabideck_agent/runner.py
+++ b/packages/wasabideck_agent/wasabideck_agent/runner.py
@@ -53,7 +53,7 @@
     """
 
     vm: str
-    gate: AdmissionControl
+    admission: AdmissionControl
     events: Events
     engine: ModelEngineClient | None
     plain: PlainServiceClient | None
@@ -72,7 +72,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Create the slots that the admission control assigns."""
-        self.slots = Slots(self.gate, self.clock)
+        self.slots = Slots(self.admission, self.clock)
 
     def start(self, req: pb.RunRequest) -> Attempt:
         """Return the attempt with the request's id; start it if it is unknown."""
@@ -245,7 +245,7 @@
                 # did not order the swap, admission is closed here. If it did, the
                 # order closed admission, and the next read-back sets it.
                 if line["version"] != self.serving.version:
-                    self.gate.accepting = False
+                    self.admission.accepting = False
                 return Unknown(Failure("MixedVersion", line["version"]), 1.0)
             attempt.add_event(piece=pb.Piece(data=line["text"].encode()))
             await attempt.wait_for_slow_reader()
--- a/packages/wasabideck_agent/wasabideck_agent/serving.py
+++ b/packages/wasabideck_agent/wasabideck_agent/serving.py
@@ -72,7 +72,7 @@
     until every entry has learned of the shutdown, from a notification or from a
     refusal: the outcome of a request on a closing connection would be unknown.
     """
-    agent.runner.gate.draining = True
+    agent.runner.admission.draining = True
     agent.peers_service.notify_watchers()
     agent.events.emit("process.leaving", kind=AGENT)
     limit = time.monotonic() + MAX_DRAIN_SECONDS
@@ -96,7 +96,7 @@
         return web.Response(body=body, headers=headers)
 
     async def ready(req: web.Request) -> web.Response:
-        return web.Response(status=200 if agent.runner.gate.accepting else 503)
+        return web.Response(status=200 if agent.runner.admission.accepting else 503)
 
     app = web.Application()
     app.add_routes([web.get("/metrics", metrics), web.get("/ready", ready)])
--- a/packages/wasabideck_agent/wasabideck_agent/slots.py
+++ b/packages/wasabideck_agent/wasabideck_agent/slots.py
@@ -30,7 +30,7 @@
         Determines the capacity of a server that reports no load.
     """
 
-    gate: AdmissionControl
+    admission: AdmissionControl
     clock: Callable[[], float]
     limit: AdaptiveConcurrencyLimit | None = None
     _grants: dict[WaitingRequest, asyncio.Future] = field(factory=dict)
@@ -39,16 +39,16 @@
     def refusal(self, attempt: Attempt) -> NotRun | None:
         """Return the refusal of a new attempt, or None if it may wait for a slot."""
         now = self.clock()
-        return admit(self.gate, _waiting(attempt, now), now)
+        return admit(self.admission, _waiting(attempt, now), now)
 
     async def acquire(self, attempt: Attempt) -> NotRun | None:
         """Wait for a slot; return a refusal, or None when the slot is acquired."""
         waiting = _waiting(attempt, self.clock())
         grant = asyncio.get_running_loop().create_future()
-        self.gate.queue.add(waiting)
+        self.admission.queue.add(waiting)
         self._grants[waiting] = grant
         self.assign()
-        if self.gate.queue and (self._poll_task is None or self._poll_task.done()):
+        if self.admission.queue and (self._poll_task is None or self._poll_task.done()):
             self._poll_task = asyncio.create_task(self._poll_admission())
         try:
             return await asyncio.shield(grant)
@@ -62,28 +62,30 @@
         ``seconds`` is the time that the server took, or None if nothing ran.
         """
         if self.limit and seconds is not None:
-            self.limit.observe(seconds, self.gate.running)
-            self.gate.capacity = self.limit.slots
-        self.gate.release_slot(seconds)
+            self.limit.observe(seconds, self.admission.running)
+            self.admission.capacity = self.limit.slots
+        self.admission.release_slot(seconds)
         self.assign()
 
     def assign(self) -> None:
         """Refuse requests that cannot end before their deadline; assign free slots."""
         now = self.clock()
-        for waiting in self.gate.queue.expired(now, self.gate.service_seconds):
-            if self.gate.running or waiting.deadline <= now:
-                self.gate.queue.remove(waiting)
-                self._resolve(waiting, timeout_refusal(self.gate, waiting, now))
-        while first := self.gate.start_next(now):
+        for waiting in self.admission.queue.expired(
+            now, self.admission.service_seconds
+        ):
+            if self.admission.running or waiting.deadline <= now:
+                self.admission.queue.remove(waiting)
+                self._resolve(waiting, timeout_refusal(self.admission, waiting, now))
+        while first := self.admission.start_next(now):
             self._resolve(first, None)
-        self.gate.waiting = len(self.gate.queue)
+        self.admission.waiting = len(self.admission.queue)
 
     async def _poll_admission(self) -> None:
         """Assign slots periodically while requests wait.
 
         There may be no other trigger before the requests miss their deadlines.
         """
-        while self.gate.queue:
+        while self.admission.queue:
             await asyncio.sleep(ADMISSION_POLL_INTERVAL_SECONDS)
             self.assign()
 
@@ -94,8 +96,8 @@
         """Undo a cancelled wait; release its slot if it was already assigned."""
         if not grant.done():
             del self._grants[waiting]
-            self.gate.queue.remove(waiting)
-            self.gate.waiting = len(self.gate.queue)
+            self.admission.queue.remove(waiting)
+            self.admission.waiting = len(self.admission.queue)
         elif grant.result() is None:
             self.release(None)
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -160,7 +160,7 @@
     async def body():
         dying = await make_engine_agent("draft-1", engine_kw={"dies_at": 0}).serve()
         full = await make_engine_agent("draft-2").serve()
-        full.runner.gate.draining = True
+        full.runner.admission.draining = True
         caller = make_caller(make_target(dying), make_target(full))
         _, outcome = await answer(caller, call())
         assert isinstance(outcome, Unknown)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -16,8 +16,8 @@
 
 @pytest.fixture
 def slots(now):
-    gate = AdmissionControl(capacity=1, service_seconds=1.0, accepting=True)
-    return Slots(gate, lambda: now[0])
+    admission = AdmissionControl(capacity=1, service_seconds=1.0, accepting=True)
+    return Slots(admission, lambda: now[0])
 
 
 def attempt(name, deadline=100.0, priority=1):
@@ -41,7 +41,7 @@
         second.cancel()
         await run_ready_tasks()
         assert third.done() and third.result() is None
-        assert slots.gate.running == 1
+        assert slots.admission.running == 1
 
     asyncio.run(session())
 
@@ -66,11 +66,11 @@
 
 def test_requests_wait_while_none_is_accepted_and_run_when_they_are(slots):
     async def session():
-        slots.gate.accepting = False
+        slots.admission.accepting = False
         waiting = asyncio.create_task(slots.acquire(attempt("first")))
         await run_ready_tasks()
         assert not waiting.done()
-        slots.gate.accepting = True
+        slots.admission.accepting = True
         assert await waiting is None
 
     asyncio.run(session())
--- a/tests/tickets/test_orders.py
+++ b/tests/tickets/test_orders.py
@@ -187,7 +187,7 @@
 
 @define
 class FakeRunner:
-    gate: FakeAdmission = field(factory=FakeAdmission)
+    admission: FakeAdmission = field(factory=FakeAdmission)
     serving: Serving = field(factory=Serving)
 
 
@@ -219,7 +219,7 @@
         self.note(f"agent: {kind} {fields.get('ticket', fields.get('fence', ''))}")
 
     def note(self, line):
-        gate = "open" if self.runner.gate.accepting else "closed"
+        admission = "open" if self.runner.admission.accepting else "closed"
         self.log.append(f"{self.now:7.1f} {line} [gate {gate}]")
 
     async def sleep(self, seconds):
@@ -318,4 +318,4 @@
 
     asyncio.run(run())
     assert session.engine.loaded_now.fence == 5
-    assert not session.runner.gate.accepting
+    assert not session.runner.admission.accepting
