--- a/tests/tickets/test_orders.py
+++ b/tests/tickets/test_orders.py
@@ -220,7 +220,7 @@
 
     def note(self, line):
         admission = "open" if self.runner.admission.accepting else "closed"
-        self.log.append(f"{self.now:7.1f} {line} [gate {gate}]")
+        self.log.append(f"{self.now:7.1f} {line} [gate {admission}]")
 
     async def sleep(self, seconds):
         self.pass_time(seconds)
