--- a/packages/wasabideck_agent/wasabideck_agent/assembly.py
+++ b/packages/wasabideck_agent/wasabideck_agent/assembly.py
@@ -49,14 +49,14 @@
     session: aiohttp.ClientSession,
     keys: TlsContexts | None,
 ) -> Agent:
-    """Return an agent with its settings; nothing is sent or started yet."""
+    """Return a new agent; this sends no request and starts no task."""
     platform = create_platform_clients(cfg.platform, session)
     http = HttpClient(cfg.server.url, cfg.platform.timeout_seconds, session)
     plain = cfg.server.kind == PLAIN_KIND
     channels = Channels(events.clock, keys and keys.inner_client)
     ticket_replication = TicketReplication(cfg.process.vm, events)
-    # Never derived from the seed: a process that restarts with the same settings must
-    # be distinguishable from the one that died.
+    # Not derived from the seed: a process that restarts with the same settings must be
+    # distinguishable from its predecessor that died.
     incarnation = uuid.uuid4().hex
     holder = Holder(cfg.process.vm, "", incarnation)
     runner = Runner(
@@ -96,13 +96,13 @@
 
 
 def inner_services(agent: Agent) -> list:
-    """Return the services of the inner protocol that an agent provides."""
+    """Set the agent's peers service; return all its services of the inner protocol."""
     agent.peers_service = PeersService(agent.ticket_replication, agent.status)
     return [RunsService(agent.runner), agent.peers_service, agent.chunks_service]
 
 
 def background_loops(agent: Agent) -> list:
-    """Return an agent's endless loops, as coroutines to run concurrently."""
+    """Return coroutines that run an agent's background work and never end."""
     every = periodic_with_events(agent.events)
     loops = [
         every(agent.cfg.platform.poll_seconds, agent.read_members),
@@ -118,6 +118,7 @@
 
 
 def _make_reconciler(agent: Agent) -> Reconciler:
+    """Return an agent's reconciler, and set the orders that both use."""
     reconciler: Reconciler
     orders = Orders(
         agent.runner.engine,
--- a/packages/wasabideck_agent/wasabideck_agent/manifest_reader.py
+++ b/packages/wasabideck_agent/wasabideck_agent/manifest_reader.py
@@ -1,4 +1,4 @@
-"""Finds a manifest: queries peers first, to limit the reads from the origin."""
+"""Reads a manifest from peers first, to limit the reads from the origin."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 CALL_TIMEOUT_SECONDS = 2.0
 PEERS_PER_QUERY = 3
 RETRY_INTERVAL_SECONDS = 0.05
-# Number of agents that read a manifest from the origin immediately: more than one, so
-# that a lost reader delays nobody. The others read it when no peer has replied with it
-# after the maximum wait.
+# Number of agents that read a manifest from the origin once their first query of peers
+# has failed: more than one, so that the loss of one delays nobody. The other agents
+# retry the query, and read from the origin after the maximum wait.
 ORIGIN_READERS = 2
-MAX_WAIT_SECONDS = 1.0
+MAX_PEER_WAIT_SECONDS = 1.0
 
 
 @define
 class ManifestReader:
     """Reads manifests by digest, from peers or from the origin.
 
-    A peer's bytes are accepted only if they have the digest of the ticket, so it does
-    not matter who sent them.
+    A peer's reply is accepted only if it has the digest of the ticket, so the peer need
+    not be trusted.
     """
 
     vm: str
@@ -49,33 +49,36 @@
         Raises
         ------
         PlatformUnavailable, PlatformRefused, CorruptManifest
-            No queried peer has it, and reading it from the origin failed.
+            No queried peer sent it, and reading it from the origin failed.
         """
         started = self.clock()
         while True:
             if manifest := await self._query_peers(digest):
                 return manifest
-            if self._reads_origin(digest) or self.clock() - started >= MAX_WAIT_SECONDS:
+            if (
+                self._is_origin_reader(digest)
+                or self.clock() - started >= MAX_PEER_WAIT_SECONDS
+            ):
                 return await self.origin.read_manifest(digest)
             await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
-    def _reads_origin(self, digest: str) -> bool:
+    def _is_origin_reader(self, digest: str) -> bool:
         vms = [self.vm, *(m.vm for m in self.list_peers() if not m.leaving)]
         return self.vm in rank_vms(digest, vms)[:ORIGIN_READERS]
 
     async def _query_peers(self, digest: str) -> Manifest | None:
-        """Return the manifest from one of a few peers, or None if none has it."""
+        """Return the manifest from one of a few peers, or None if none sends it."""
         members = {m.vm: m for m in self.list_peers()}
-        readers = rank_vms(digest, members)[:ORIGIN_READERS]
-        drawn = self.rng.sample(sorted(members), min(PEERS_PER_QUERY, len(members)))
+        origin_readers = rank_vms(digest, members)[:ORIGIN_READERS]
+        sampled = self.rng.sample(sorted(members), min(PEERS_PER_QUERY, len(members)))
         queries = [
             asyncio.create_task(self._query(members[vm], digest))
-            for vm in dict.fromkeys([*readers, *drawn])
+            for vm in dict.fromkeys([*origin_readers, *sampled])
         ]
-        # The peers are queried concurrently: a suspended peer never replies, and would
-        # delay every VM of its service by the timeout of a call if queried in turn.
+        # The peers are queried concurrently: one after another, a suspended peer, which
+        # never replies, would delay every VM of its service by the timeout of a call.
         try:
-            for reply in asyncio.as_completed(queries, timeout=MAX_WAIT_SECONDS):
+            for reply in asyncio.as_completed(queries, timeout=MAX_PEER_WAIT_SECONDS):
                 if manifest := await reply:
                     return manifest
         except TimeoutError:
--- a/packages/wasabideck_agent/wasabideck_agent/peer_manifests.py
+++ b/packages/wasabideck_agent/wasabideck_agent/peer_manifests.py
@@ -21,8 +21,9 @@
 
 __all__ = ["query_all", "query_peers"]
 
-# Peers queried at once. A manifest of 64 chunks takes 4.4 KB, so this many replies take
-# as many bytes as one chunk. If one peer of 41 has it, one attempt in seven finds it.
+# Maximum number of peers queried at once. A manifest of 64 chunks takes 4.4 KB, so
+# the replies together take as many bytes as one chunk. If one peer of 41 has the
+# manifest, one attempt in seven finds it.
 MAX_QUERIED_PEERS = 6
 # A live peer replies within 0.2 s, also over a full link.
 QUERY_TIMEOUT_SECONDS = 0.6
@@ -36,22 +37,23 @@
     channels: Channels,
     rng: random.Random,
 ) -> list[ManifestReport]:
-    """Return the reports of a few peers, drawn at random, that have a manifest.
+    """Return the reports of a few peers, drawn at random, that have the manifest.
 
     Parameters
     ----------
     vm : str
-        The VM of the agent that asks.
+        The VM of the agent that sends the query.
     """
-    drawn = rng.sample(peers, min(MAX_QUERIED_PEERS, len(peers)))
-    return await query_all(model, version, vm, drawn, channels)
+    sampled = rng.sample(peers, min(MAX_QUERIED_PEERS, len(peers)))
+    return await query_all(model, version, vm, sampled, channels)
 
 
 async def query_all(
     model: str, version: int, vm: str, peers: Sequence[Member], channels: Channels
 ) -> list[ManifestReport]:
-    """Return the reports of those of the given peers that have a manifest."""
-    # The peers are queried concurrently: a suspended one would delay the others.
+    """Query all given peers; return the reports of those that have the manifest."""
+    # The peers are queried concurrently: one after another, a suspended peer would
+    # delay the queries after it.
     reports = await asyncio.gather(
         *(_query(model, version, vm, peer, channels) for peer in peers)
     )
--- a/packages/wasabideck_base/wasabideck_base/early_listener.py
+++ b/packages/wasabideck_base/wasabideck_base/early_listener.py
@@ -1,8 +1,8 @@
-"""A socket that accepts connections before the rest of a process has started.
+"""A socket that listens before the rest of a process has started.
 
 An entry needs half a second to import its modules. When all entries restart at the
 same time, as after a power failure, every caller that connects in that time would be
-refused, and its retry too. With the socket open early, the connection waits in the
+refused, and so would its retry. With the socket open early, the connection waits in the
 backlog until the entry has started.
 
 This module imports only modules that load quickly.
@@ -30,7 +30,13 @@
     """
 
     def __init__(self, address: str):
-        """Listen at ``HOST:PORT``; raise ``OSError`` if the address is unusable."""
+        """Listen at ``HOST:PORT``.
+
+        Raises
+        ------
+        OSError, OverflowError
+            The socket cannot listen at the address, or the port is out of range.
+        """
         host, port = split_address(address)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
--- a/packages/wasabideck_base/wasabideck_base/http_pool.py
+++ b/packages/wasabideck_base/wasabideck_base/http_pool.py
@@ -1,8 +1,8 @@
-"""Connection pool for calls of plain HTTP services, without a client library.
+"""Connection pool and client for unencrypted HTTP, without a client library.
 
-An agent polls its engine ten times a second. Here such a call needs a parser and one
-future. The request, response and stream objects of a client library cost several times
-as much per call, and importing them takes a fifth of a process's start time.
+An agent polls its engine ten times a second. In this module a call needs a parser and
+one future. The request, response and stream objects of a client library cost several
+times as much per call, and importing them takes a fifth of a process's start time.
 """
 
 from __future__ import annotations
@@ -105,7 +105,7 @@
 
 @define
 class PooledClient:
-    """Client of one service, with typed failures.
+    """Client of one HTTP service; raises an exception class per kind of failure.
 
     Attributes
     ----------
@@ -121,7 +121,7 @@
 
     @property
     def base(self) -> str:
-        """Return the base URL, which failures contain."""
+        """Return the base URL, which the raised exceptions contain."""
         return f"http://{self.address}"
 
     async def call(
@@ -135,12 +135,14 @@
         silence: float | None = None,
         received: Callable[[int], None] | None = None,
     ) -> tuple[int, bytes]:
-        """Return the status and body of a response.
+        """Send a request; return the status and body of its response.
 
         Parameters
         ----------
         timeout : float or None
             Timeout of the whole call in seconds; None for the client's default.
+        accept : tuple of int
+            Any other status raises an exception.
         silence : float or None
             Read timeout: maximum seconds without data; None for no such limit.
         received : callable or None
@@ -149,7 +151,9 @@
         Raises
         ------
         PlatformUnavailable
-            The service sent no response.
+            The service sent no complete response.
+        PlatformNonsense
+            The response is malformed.
         PlatformRefused
             The status is not one of the accepted ones.
         """
@@ -205,7 +209,8 @@
             try:
                 return await self._exchange(conn, data, silence, received)
             except ResponseLost as exc:
-                # In most cases the service closed the connection while it was idle.
+                # In most cases the service closed the connection while it was idle, so
+                # an idempotent request is retried below on a new connection.
                 if exc.status_received or method not in IDEMPOTENT_METHODS:
                     raise PlatformUnavailable(url, str(exc), True) from exc
             except MalformedResponse as exc:
@@ -223,9 +228,9 @@
             async with asyncio.timeout(silence):
                 return await self.pool.connect(self.address)
         except (OSError, ValueError) as exc:
-            # Nothing was sent, so a write certainly had no effect.
-            why = str(exc) or type(exc).__name__
-            raise PlatformUnavailable(url, why, maybe_applied=False) from exc
+            # No request was sent, so a write certainly had no effect.
+            reason = str(exc) or type(exc).__name__
+            raise PlatformUnavailable(url, reason, maybe_applied=False) from exc
 
     async def _exchange(
         self,
--- a/packages/wasabideck_entry/wasabideck_entry/http_server.py
+++ b/packages/wasabideck_entry/wasabideck_entry/http_server.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP server, which checks limits and credentials before any route."""
+"""The entry's HTTP server; checks limits and credentials before any route handler."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 __all__ = ["HttpOptions", "close_http", "make_app", "serve_http"]
 
-# sanic cancels a handler after this time, even during a streamed response. The longest
-# deadline that a caller may set is an hour.
+# sanic cancels a handler after this time, even during a streamed response. It is longer
+# than an hour, the maximum deadline that a caller may set.
 RESPONSE_TIMEOUT_SECONDS = 3700
 REQUEST_TIMEOUT_SECONDS = 30
 IDLE_TIMEOUT_SECONDS = 75
@@ -40,7 +40,7 @@
 
 @frozen
 class HttpOptions:
-    """Settings of the HTTP server and its access to the entry.
+    """Settings of the HTTP server, and callables that return the entry's state.
 
     Attributes
     ----------
@@ -57,7 +57,7 @@
 
 
 def make_app(options: HttpOptions) -> Sanic:
-    """Return an application that has only the routes of the process itself."""
+    """Return an application with the request checks and the process's own routes."""
     # sanic allows fewer characters in a name than a VM's name may have.
     vm = re.sub(r"[^A-Za-z0-9]", "_", options.cfg.process.vm)
     app = Sanic(f"wasabideck_{vm}", configure_logging=False)
@@ -77,9 +77,9 @@
 
 
 async def serve_http(app: Sanic, options: HttpOptions) -> tuple[AsyncioServer, str]:
-    """Start to serve; return the server and its bound address.
+    """Start the server; return it and its bound address.
 
-    sanic runs inside this event loop, since its worker manager would start processes.
+    sanic runs on the current event loop: its worker manager would start processes.
     """
     address = options.cfg.process.http
     with convert_bind_errors(address):
@@ -98,10 +98,13 @@
 
 
 async def close_http(server: AsyncioServer, seconds: float) -> None:
-    """Accept no new connections, and close each one when its request has ended."""
+    """Stop listening, and close each open connection once its request has ended.
+
+    Returns after the given time at the latest, even if connections are still open.
+    """
     server.close()
-    close_by = time.monotonic() + seconds
-    while server.connections and time.monotonic() < close_by:
+    deadline = time.monotonic() + seconds
+    while server.connections and time.monotonic() < deadline:
         close_idle_connections(server)
         await asyncio.sleep(CLOSE_POLL_INTERVAL_SECONDS)
 
@@ -115,19 +118,19 @@
     # A request is checked once its head has been read, so that a wrong credential is
     # refused before the body is received.
     @app.signal("http.routing.after")
-    async def admit(request: Request, **routed: object) -> None:
+    async def admit(request: Request, **_: object) -> None:
         request.ctx.principal = authenticate(options.cfg, request.path, request.headers)
         connections.acquire(request.conn_info.ctx, request.ctx.principal)
         request.stream.request_max_size = max_bytes = _max_body_bytes(
             options, request.path
         )
-        # A body that is too long is refused by its Content-Length, or, if it is sent
-        # in chunks, as soon as the chunks exceed the limit.
+        # A body that is too long is refused by its Content-Length, or, if its transfer
+        # encoding is chunked, as soon as the received bytes exceed the limit.
         if int(request.headers.get("content-length", 0)) > max_bytes:
             raise PayloadTooLarge(f"body: at most {max_bytes} bytes are allowed")
 
     @app.signal("http.lifecycle.complete")
-    async def leave(conn_info: ConnInfo, **_: object) -> None:
+    async def release_connection(conn_info: ConnInfo, **_: object) -> None:
         connections.release(conn_info.ctx)
 
     @app.exception(WasabideckError)
--- a/packages/wasabideck_lab/wasabideck_lab/decision_costs.py
+++ b/packages/wasabideck_lab/wasabideck_lab/decision_costs.py
@@ -21,15 +21,15 @@
 
 
 def measure_decisions(seed: int) -> list[dict]:
-    """Return the microseconds and bytes of each decision, one row per fleet size."""
-    return [_measure(size, seed) for size in FLEET_SIZES]
+    """Return the microseconds per decision and the bytes of a view, by fleet size."""
+    return [_measure(fleet_size, seed) for fleet_size in FLEET_SIZES]
 
 
-def _measure(size: int, seed: int) -> dict:
-    rng = random.Random(f"{seed}/{size}")
+def _measure(fleet_size: int, seed: int) -> dict:
+    rng = random.Random(f"{seed}/{fleet_size}")
     digests = [chunk_digest(str(index).encode()) for index in range(CHUNKS)]
     members = [
-        Member(f"vm-{i}", AGENT, "", f"region-{i % REGIONS}") for i in range(size)
+        Member(f"vm-{i}", AGENT, "", f"region-{i % REGIONS}") for i in range(fleet_size)
     ]
     tracemalloc.start()
     view = TransferView("vm-0", digests, 0.0, "region-0", origin_region="region-0")
@@ -39,10 +39,10 @@
             view, member.vm, rng.getrandbits(CHUNKS) & rng.getrandbits(CHUNKS), 0.0
         )
     view.held = rng.getrandbits(CHUNKS)
-    size_bytes, _ = tracemalloc.get_traced_memory()
+    view_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
-        "vms": size,
+        "vms": fleet_size,
         "chunks": CHUNKS,
         "next_fetch_us": _median_micros(lambda: choose_fetch(view, 1.0, rng)),
         "whom_to_ask_us": _median_micros(lambda: peers_to_query(view, 1.0, rng)),
@@ -52,16 +52,16 @@
         "set_members_us": _median_micros(
             lambda: set_members(view, "manifest", members), 5
         ),
-        "view_bytes": size_bytes,
+        "view_bytes": view_bytes,
         "bitmap_bytes": CHUNKS // 8,
     }
 
 
-def _median_micros(decide: Callable[[], object], repeats: int = REPEATS) -> float:
+def _median_micros(call: Callable[[], object], repeats: int = REPEATS) -> float:
     """Return the median duration of repeated calls, in microseconds."""
     durations = []
     for _ in range(repeats):
         started = time.perf_counter()
-        decide()
+        call()
         durations.append(time.perf_counter() - started)
     return round(sorted(durations)[repeats // 2] * 1e6, 1)
--- a/packages/wasabideck_lab/wasabideck_lab/line_fit.py
+++ b/packages/wasabideck_lab/wasabideck_lab/line_fit.py
@@ -20,7 +20,8 @@
     base : float
         Value at size 0.
     worst_residual : float
-        Maximum distance of a point from the line, as a fraction of the maximum value.
+        Maximum vertical distance of a point from the line, as a fraction of the maximum
+        absolute value.
     """
 
     quantity: str
@@ -43,7 +44,7 @@
 def fit_line(
     quantity: str, unit: str, sizes: Sequence[float], values: Sequence[float]
 ) -> FittedLine:
-    """Return the line through at least four sizes; raise ValueError on fewer."""
+    """Fit a line to the values at four or more sizes; raise ValueError on fewer."""
     if len(sizes) < 4:
         raise ValueError(f"{quantity}: {len(sizes)} sizes; at least four are needed")
     mean_x = sum(sizes) / len(sizes)
@@ -53,7 +54,7 @@
     per_unit = sum((x - mean_x) * (y - mean_y) for x, y in pairs) / sum_of_squares
     base = mean_y - per_unit * mean_x
     max_value = max(abs(y) for y in values) or 1.0
-    max_distance = max(abs(y - base - per_unit * x) for x, y in pairs) / max_value
+    worst_residual = max(abs(y - base - per_unit * x) for x, y in pairs) / max_value
     return FittedLine(
-        quantity, unit, tuple(sizes), tuple(values), per_unit, base, max_distance
+        quantity, unit, tuple(sizes), tuple(values), per_unit, base, worst_residual
     )
--- a/packages/wasabideck_policy/wasabideck_policy/rendezvous.py
+++ b/packages/wasabideck_policy/wasabideck_policy/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all who know the same VMs agree without communication."""
+"""Rendezvous hashing: equal sets of VMs give equal orders without communication."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def scorer(item: str) -> Callable[[str], int]:
-    """Return a function from a VM's name to its score; the highest score is first."""
+    """Return a function that scores a VM by its name; the highest score ranks first."""
     return lambda vm: xxhash.xxh64_intdigest(f"{item}|{vm}".encode())
 
 
--- a/packages/wasabideck_policy/wasabideck_policy/transfer_view.py
+++ b/packages/wasabideck_policy/wasabideck_policy/transfer_view.py
@@ -1,7 +1,7 @@
 """What one VM knows of a transfer, and how received reports update it.
 
 Sets of chunk indices are integers in which bit i stands for chunk i. The cost of their
-unions and differences does not depend on the number of VMs, be it 16 or 2,100.
+unions and differences is the same with 16 VMs as with 2,100.
 """
 
 from __future__ import annotations
@@ -45,10 +45,11 @@
 # agents would open more connections at once than an origin accepts; it refuses the
 # excess ones.
 MAX_OWNERS = 24
-# Agents of a region that fetch chunks over its link, each an equal share of them.
+# Number of agents of a region that fetch chunks over the link into it; each fetches an
+# equal share of the chunks.
 GATEWAYS_PER_REGION = 4
-# Largest position in a chunk's rank at which a VM monitors the VMs before it.
-MAX_MONITORED_RANK = 2
+# Maximum position of a VM in a chunk's ranking at which it monitors the VMs before it.
+MAX_MONITORING_POSITION = 2
 LOST_BACKOFF_SECONDS = 2.0
 CORRUPT_BACKOFF_SLOTS = 8.0
 MAX_STRIKES = 8
@@ -70,10 +71,10 @@
         Maximum concurrent fetches from one peer.
     spare_reads : int
         Number of chunks that this VM may read from the origin although others hold
-        them. The origin's link is idle once it has sent its copy, while the links of
+        them. The origin's link is idle once it has sent one copy, while the links of
         the VMs are saturated.
     slot_seconds : float
-        Seconds that one chunk takes on the VM's link.
+        Seconds that the transfer of one chunk takes on the VM's link.
     stall_seconds : float
         Seconds without progress after which the second VM in rank fetches a chunk
         instead of the first; the delay doubles with each further rank.
@@ -99,6 +100,10 @@
         region.
     sent : int
         Number of chunks that it has sent.
+    heard_at : float
+        When its last report was recorded.
+    busy_until : float
+        When its current backoff ends.
     strikes : int
         Number of corrupt chunks that it sent, less one for each valid one.
     lost : bool
@@ -119,7 +124,7 @@
 
 @frozen
 class FetchRanking:
-    """Which VMs fetch each chunk from outside a region, in order of rank.
+    """Ranking of the VMs that fetch each chunk from the origin or another region.
 
     Attributes
     ----------
@@ -176,6 +181,15 @@
         When a chunk last became newly available here or at a peer.
     last_received_at : float
         When this VM last received a chunk.
+    sources : Counter
+        Number of current fetches by source.
+    cross_region_active : int
+        Number of current fetches from peers over the link into the region.
+    spare_reads : int
+        Number of spare reads started so far.
+    owners, region_fetchers : FetchRanking
+        Which VMs read each chunk from the origin, and which fetch it over the link
+        into the region.
     """
 
     vm: str
@@ -222,21 +236,24 @@
 
 
 def set_members(view: TransferView, item: str, members: Iterable[Member]) -> None:
-    """Set the participants; each item, such as a manifest, has its own ranking."""
+    """Set the members of the transfer, and rank this VM and those not shutting down.
+
+    Each item, such as a manifest, has its own ranking.
+    """
     members = [m for m in members if m.vm != view.vm]
     for member in members:
         if member.vm not in view.peers:
             view.peers[member.vm] = Peer(member.vm, member.region, member.data_centre)
-    staying = {m.vm for m in members if not m.leaving}
+    eligible = {m.vm for m in members if not m.leaving}
     for vm in view.peers.keys() - {m.vm for m in members}:
         view.holders.pop(vm, None)
         del view.peers[vm]
     _recompute_available(view)
-    _rank_owners(view, item, staying)
-    local = [vm for vm in staying if view.peers[vm].region == view.region]
+    _rank_owners(view, item, eligible)
+    local = [vm for vm in eligible if view.peers[vm].region == view.region]
     pool = gateways(item, view.region, [view.vm, *local])
-    # Round robin distributes the chunks evenly over the gateways. A ranking drawn for
-    # each chunk would give one of the few gateways far more chunks than the others.
+    # Round robin distributes the chunks evenly over the gateways. A separate ranking by
+    # hash for each chunk would give one of the few gateways far more than the others.
     rotations = [[*pool[k:], *pool[:k]] for k in range(len(pool))]
     chunks = range(len(view.digests))
     view.region_fetchers = _ranking(view.vm, [rotations[i % len(pool)] for i in chunks])
@@ -271,12 +288,12 @@
     if dropped:
         view.holders = {vm: p for vm, p in view.holders.items() if p.held}
         _recompute_available(view)
-    new = peer.held & ~view.available
+    newly_available = peer.held & ~view.available
     view.available |= peer.held
     if peer.region == view.region:
-        new |= peer.held & ~view.available_in_region
+        newly_available |= peer.held & ~view.available_in_region
         view.available_in_region |= peer.held
-    if new:
+    if newly_available:
         view.progress_at = now
 
 
@@ -307,7 +324,7 @@
 
 
 def record_chunk(view: TransferView, fetch: Fetch, now: float) -> None:
-    """Record that a fetch has received its chunk, verified."""
+    """Record that a fetch has received its chunk and the chunk is valid."""
     view.held |= 1 << fetch.index
     view.last_received_at = view.progress_at = now
     if peer := view.peers.get(fetch.source):
@@ -315,7 +332,10 @@
 
 
 def record_corrupt_chunk(view: TransferView, fetch: Fetch, now: float) -> None:
-    """Record a corrupt chunk: its sender is not used for an exponential backoff."""
+    """Record a corrupt chunk, and set a backoff for its sender.
+
+    It grows exponentially with a peer's strikes; for the origin it is constant.
+    """
     peer = view.peers.get(fetch.source)
     if peer is None:
         view.origin_busy_until = now + ORIGIN_CORRUPT_BACKOFF_SECONDS
@@ -329,22 +349,25 @@
 def record_refusal(
     view: TransferView, fetch: Fetch, now: float, rng: random.Random
 ) -> None:
-    """Record that the sender has no free upload: it is retried after about a slot."""
+    """Record that the sender has no free upload slot, and set a backoff for it.
+
+    The backoff is about the time that the transfer of one chunk takes.
+    """
     if peer := view.peers.get(fetch.source):
         peer.busy_until = now + view.limits.slot_seconds * rng.uniform(0.5, 1.5)
 
 
 def record_origin_failure(view: TransferView, now: float) -> None:
-    """Record that the origin did not respond: it is not read for a backoff."""
+    """Record that the origin did not respond, and set a backoff for its reads."""
     view.origin_busy_until = now + ORIGIN_BACKOFF_SECONDS
 
 
 def bits(mask: int) -> Iterator[int]:
     """Yield the indices of the bits that are set, from the lowest."""
     while mask:
-        low = mask & -mask
-        yield low.bit_length() - 1
-        mask ^= low
+        lowest_bit = mask & -mask
+        yield lowest_bit.bit_length() - 1
+        mask ^= lowest_bit
 
 
 def pick_bit(mask: int, rng: random.Random) -> int:
@@ -362,12 +385,12 @@
             view.available_in_region |= peer.held
 
 
-def _rank_owners(view: TransferView, item: str, staying: set[str]) -> None:
+def _rank_owners(view: TransferView, item: str, eligible: set[str]) -> None:
     """Rank the VMs that may read from the origin.
 
-    Only VMs in the origin's region may, if there are any.
+    If the origin's region has any VMs, only these may.
     """
-    region = {vm: view.peers[vm].region for vm in staying} | {view.vm: view.region}
+    region = {vm: view.peers[vm].region for vm in eligible} | {view.vm: view.region}
     in_origin_region = [vm for vm in region if region[vm] == view.origin_region]
     pool = heapq.nlargest(MAX_OWNERS, in_origin_region or region, key=scorer(item))
     view.owners = _ranking(view.vm, [rank_vms(digest, pool) for digest in view.digests])
@@ -377,6 +400,6 @@
     positions = tuple(row.index(vm) if vm in row else -1 for row in ranks)
     first = sum(1 << i for i, pos in enumerate(positions) if pos == 0)
     monitored = sum(
-        1 << i for i, pos in enumerate(positions) if 0 <= pos <= MAX_MONITORED_RANK
+        1 << i for i, pos in enumerate(positions) if 0 <= pos <= MAX_MONITORING_POSITION
     )
     return FetchRanking(tuple(ranks), positions, first, monitored)
