--- a/packages/wasabideck_base/wasabideck_base/http_pool.py
+++ b/packages/wasabideck_base/wasabideck_base/http_pool.py
@@ -132,7 +132,7 @@
         params: Mapping[str, str] | None = None,
         timeout: float | None = None,
         accept: tuple[int, ...] = (200,),
-        silence: float | None = None,
+        read_timeout: float | None = None,
         received: Callable[[int], None] | None = None,
     ) -> tuple[int, bytes]:
         """Send a request; return the status and body of its response.
@@ -143,7 +143,7 @@
             Timeout of the whole call in seconds; None for the client's default.
         accept : tuple of int
             Any other status raises an exception.
-        silence : float or None
+        read_timeout : float or None
             Read timeout: maximum seconds without data; None for no such limit.
         received : callable or None
             Called with the size of each part of the body when it arrives.
@@ -162,7 +162,7 @@
         try:
             async with asyncio.timeout(timeout or self.timeout):
                 status, content = await self._send_with_retry(
-                    url, method, data, silence, received
+                    url, method, data, read_timeout, received
                 )
         except TimeoutError as exc:
             raise PlatformUnavailable(url, "timeout", maybe_applied=True) from exc
@@ -201,13 +201,13 @@
         url: str,
         method: str,
         data: bytes,
-        silence: float | None,
+        read_timeout: float | None,
         received: Callable[[int], None] | None,
     ) -> tuple[int, bytes]:
         conn = self.pool.take_idle(self.address)
         if conn is not None:
             try:
-                return await self._exchange(conn, data, silence, received)
+                return await self._exchange(conn, data, read_timeout, received)
             except ResponseLost as exc:
                 # In most cases the service closed the connection while it was idle, so
                 # an idempotent request is retried below on a new connection.
@@ -215,17 +215,17 @@
                     raise PlatformUnavailable(url, str(exc), True) from exc
             except MalformedResponse as exc:
                 raise PlatformNonsense(url, str(exc)) from exc
-        conn = await self._connect(url, silence)
+        conn = await self._connect(url, read_timeout)
         try:
-            return await self._exchange(conn, data, silence, received)
+            return await self._exchange(conn, data, read_timeout, received)
         except ResponseLost as exc:
             raise PlatformUnavailable(url, str(exc), maybe_applied=True) from exc
         except MalformedResponse as exc:
             raise PlatformNonsense(url, str(exc)) from exc
 
-    async def _connect(self, url: str, silence: float | None) -> HttpConnection:
+    async def _connect(self, url: str, read_timeout: float | None) -> HttpConnection:
         try:
-            async with asyncio.timeout(silence):
+            async with asyncio.timeout(read_timeout):
                 return await self.pool.connect(self.address)
         except (OSError, ValueError) as exc:
             # No request was sent, so a write certainly had no effect.
@@ -236,16 +236,16 @@
         self,
         conn: HttpConnection,
         data: bytes,
-        silence: float | None,
+        read_timeout: float | None,
         received: Callable[[int], None] | None,
     ) -> tuple[int, bytes]:
         try:
             conn.send(data, received)
             while not conn.complete:
-                if silence is None:
+                if read_timeout is None:
                     await conn.wait_for_data()
                     continue
-                async with asyncio.timeout(silence):
+                async with asyncio.timeout(read_timeout):
                     await conn.wait_for_data()
         finally:
             if not conn.complete:
