--- a/tests/two_builds.py
+++ b/tests/two_builds.py
@@ -154,7 +154,7 @@
 
 
 async def ticket_round(folder, entries, digests, number, submitter):
-    sessions = [aiohttp.ClientSession(f"http://{e.http}") for e in entries]
+    sessions = [aiohttp.ClientSession(f"http://{e.http_address}") for e in entries]
     try:
         file = ticket(folder, number, digests[number - 1])
         await submit_ticket(sessions[submitter], file)
